--- a/crates/scale-rig/src/earlier.rs
+++ b/crates/scale-bench/src/earlier.rs
@@ -26,7 +26,7 @@
 fn main() -> ExitCode {
     let cli = match Cli::try_parse() {
         Ok(cli) => cli,
-        Err(error) => return error::told("scale-rig-earlier", &error),
+        Err(error) => return error::told("scale-bench-earlier", &error),
     };
     let result = match cli {
         Cli::Decisions(options) => decisions::run(options),
@@ -35,7 +35,7 @@
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("scale-rig-earlier: {error}");
+            eprintln!("scale-bench-earlier: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/scale-rig/src/fleet/counter.rs
+++ b/crates/scale-bench/src/fleet/counter.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use mountbend::interface::{CountName, Micros, Outcome};
+use edge_node::decision::{CounterKey, Micros, Outcome};
 
 /// No name is kept for longer.
 const KEEP_MOST: Micros = 60_000_000;
@@ -55,10 +55,10 @@
     }
 
     /// Takes a call that arrives now; none if it will never be answered.
-    pub fn add(&mut self, now: Micros, name: CountName, amount: f64, keep: Micros) -> Option<Reply> {
+    pub fn add(&mut self, now: Micros, name: CounterKey, amount: f64, keep: Micros) -> Option<Reply> {
         match self.mood {
             Mood::Silent => return None,
-            Mood::Busy => return Some(Reply { at: now, outcome: Outcome::Full, total: 0.0 }),
+            Mood::Busy => return Some(Reply { at: now, outcome: Outcome::Rejected, total: 0.0 }),
             Mood::Well => {}
         }
         if now >= self.swept + SWEEP {
@@ -68,7 +68,7 @@
         let part = (name.0 % self.free.len() as u64) as usize;
         let begin = self.free[part].max(now);
         if begin - now > self.line_most {
-            return Some(Reply { at: now, outcome: Outcome::Full, total: 0.0 });
+            return Some(Reply { at: now, outcome: Outcome::Rejected, total: 0.0 });
         }
         let at = begin + self.each;
         self.free[part] = at;
--- a/crates/scale-rig/src/fleet/faults.rs
+++ b/crates/scale-bench/src/fleet/faults.rs
@@ -1,7 +1,7 @@
 //! Failures by name: what breaks, when, and what comes back.
 
 use clap::ValueEnum;
-use mountbend::interface::{Member, MemberState, Micros, ServerId};
+use edge_node::decision::{EndpointEntry, EndpointId, EndpointState, Micros};
 use rand::seq::SliceRandom;
 use rand::Rng;
 use serde::Serialize;
@@ -130,12 +130,12 @@
             (Fail::CounterSilent | Fail::CounterBusy, Step::End) => self.counter.mood = Mood::Well,
             (Fail::Release, Step::Drain(step)) => {
                 for server in self.group(step) {
-                    self.publish(server, MemberState::Draining);
+                    self.publish(server, EndpointState::Draining);
                 }
             }
             (Fail::Release, Step::Replace(step)) => {
                 for server in self.group(step) {
-                    self.publish(server, MemberState::Out);
+                    self.publish(server, EndpointState::Removed);
                     self.kill(server);
                     self.join(self.servers[server].zone);
                 }
@@ -170,7 +170,7 @@
     pub(super) fn kill(&mut self, server: usize) {
         let held = self.servers[server].end(State::Dead);
         for job in held {
-            self.answer(server, job, mountbend::interface::Outcome::Reset);
+            self.answer(server, job, edge_node::decision::Outcome::Reset);
         }
     }
 
@@ -180,24 +180,24 @@
         if self.servers[server].state == State::Vanished {
             self.servers[server].start(now, change);
             self.cold_started += 1;
-            self.publish(server, MemberState::In);
+            self.publish(server, EndpointState::Active);
         }
     }
 
     /// A new server starts, cold.
     fn join(&mut self, zone: u32) {
         let (now, change) = (self.queue.now(), self.changes.len());
-        let id = ServerId(self.random.random());
+        let id = EndpointId(self.random.random());
         let server = self.servers.len();
         self.by_id.insert(id.0, server as u32);
         self.servers.push(Server::new(id, zone, now, change));
         self.met_by.push(0);
         self.cold_started += 1;
-        self.publish(server, MemberState::In);
+        self.publish(server, EndpointState::Active);
     }
 
     /// Puts a change on the list and tells each node's agent after its own delay, in order.
-    pub(super) fn publish(&mut self, server: usize, state: MemberState) {
+    pub(super) fn publish(&mut self, server: usize, state: EndpointState) {
         let entry = self.member(server, state);
         self.changes.push(entry);
         let (now, upto) = (self.queue.now(), self.changes.len());
@@ -212,16 +212,16 @@
     }
 
     /// A server as the list shows it.
-    pub(super) fn member(&self, server: usize, state: MemberState) -> Member {
+    pub(super) fn member(&self, server: usize, state: EndpointState) -> EndpointEntry {
         let s = &self.servers[server];
-        Member {
-            server: s.id,
+        EndpointEntry {
+            id: s.id,
             zone: s.zone,
             cell: s.zone,
             state,
-            started: s.started,
+            started_at: s.started,
             weight: 1.0,
-            ..Member::default()
+            ..EndpointEntry::default()
         }
     }
 }
--- a/crates/scale-rig/src/fleet/figures.rs
+++ b/crates/scale-bench/src/fleet/figures.rs
@@ -1,7 +1,7 @@
 //! What a run counts, and how it is told.
 
+use edge_node::decision::{Micros, Outcome};
 use hdrhistogram::Histogram;
-use mountbend::interface::{Micros, Outcome};
 
 use super::faults::Fail;
 use super::world::{Final, World};
@@ -154,8 +154,13 @@
 
     /// An attempt's end.
     pub fn ended(&mut self, now: Micros, outcome: Outcome) {
-        let kinds =
-            [Outcome::Full, Outcome::TimedOut, Outcome::ConnectFailed, Outcome::Reset, Outcome::Cancelled];
+        let kinds = [
+            Outcome::Rejected,
+            Outcome::TimedOut,
+            Outcome::ConnectFailed,
+            Outcome::Reset,
+            Outcome::Cancelled,
+        ];
         if let (true, Some(kind)) = (self.measured(now), kinds.iter().position(|k| *k == outcome)) {
             self.outcomes[kind] += 1.0;
         }
--- a/crates/scale-rig/src/fleet/queue.rs
+++ b/crates/scale-bench/src/fleet/queue.rs
@@ -3,7 +3,7 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-use mountbend::interface::Micros;
+use edge_node::decision::Micros;
 
 struct Entry<E> {
     at: Micros,
--- a/crates/scale-rig/src/main.rs
+++ b/crates/scale-bench/src/main.rs
@@ -4,8 +4,8 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use scale_rig::error::told;
-use scale_rig::{decisions, fleet, node, slopes};
+use scale_bench::error::told;
+use scale_bench::{decisions, fleet, node, slopes};
 
 /// Measures how the edge node's cost, memory, traffic and service grow with the fleet.
 ///
@@ -32,7 +32,7 @@
 fn main() -> ExitCode {
     let cli = match Cli::try_parse() {
         Ok(cli) => cli,
-        Err(error) => return told("scale-rig", &error),
+        Err(error) => return told("scale-bench", &error),
     };
     let result = match cli.command {
         Command::Node(options) => node::run(options),
@@ -43,7 +43,7 @@
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("scale-rig: {error}");
+            eprintln!("scale-bench: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/scale-rig/src/node.rs
+++ b/crates/scale-bench/src/node.rs
@@ -127,7 +127,7 @@
 #[derive(Args, Debug, Clone, Serialize)]
 pub struct Options {
     /// The edge node's program, of this build or of an earlier one
-    #[arg(long, value_name = "PATH", default_value = "target/release/pinerelay")]
+    #[arg(long, value_name = "PATH", default_value = "target/release/edge-node")]
     pub program: PathBuf,
     /// App servers in the list, each at a loopback address of its own
     #[arg(long, value_name = "N", default_value_t = 200, value_parser = clap::value_parser!(u32).range(2..=200_000))]
--- a/crates/scale-rig/src/node/settings.rs
+++ b/crates/scale-bench/src/node/settings.rs
@@ -14,7 +14,7 @@
 pub const PAID: &str = "paid";
 
 /// A class of request.
-pub struct Class {
+pub struct RequestClass {
     /// Its name.
     pub name: &'static str,
     effect: &'static str,
@@ -27,10 +27,10 @@
 }
 
 /// The classes: most requests are safe to repeat, some are keyed, few must never run twice.
-pub const CLASSES: [Class; 3] = [
-    Class { name: "lookup", effect: "safe", body: false, keyed: false, up_to: 0.7 },
-    Class { name: "record", effect: "keyed", body: true, keyed: true, up_to: 0.9 },
-    Class { name: "entry", effect: "unsafe", body: true, keyed: false, up_to: 1.0 },
+pub const CLASSES: [RequestClass; 3] = [
+    RequestClass { name: "lookup", effect: "safe", body: false, keyed: false, up_to: 0.7 },
+    RequestClass { name: "record", effect: "keyed", body: true, keyed: true, up_to: 0.9 },
+    RequestClass { name: "entry", effect: "unsafe", body: true, keyed: false, up_to: 1.0 },
 ];
 
 /// A node's configuration in the form of its deployment.
@@ -65,7 +65,7 @@
 /// The settings, with the names of the simulator's first message; times are in microseconds.
 fn settings(options: &Options) -> Value {
     let deadline = options.deadline_ms * 1000;
-    let class = |class: &Class| {
+    let class = |class: &RequestClass| {
         json!({"name": class.name, "effect": class.effect, "group": "all", "window": 15_000_000, "credit": 1.0,
                "late_worth": 0.5, "stream": false, "on_time": (deadline / 2).max(1), "deadline": deadline})
     };
--- a/crates/scale-rig/tests/fleet.rs
+++ b/crates/scale-bench/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Hollow fleets of some dozens. The simulated clock and one seed give the same verdict every time.
 
 use clap::Parser;
-use scale_rig::fleet::{measure, Options};
-use scale_rig::report::Report;
+use scale_bench::fleet::{measure, Options};
+use scale_bench::report::Report;
 
 #[derive(Parser)]
 struct Cli {
--- a/src/bin/mountbend-wirehost.rs
+++ b/src/bin/simulator-adapter.rs
@@ -7,10 +7,10 @@
 fn main() -> ExitCode {
     let stdin = io::stdin().lock();
     let stdout = BufWriter::new(io::stdout().lock());
-    match mountbend::wire::run(stdin, stdout) {
+    match edge_node::protocol::simulator::run(stdin, stdout) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("mountbend-wirehost: {error}");
+            eprintln!("simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/control/attempts.rs
+++ b/src/decision/attempts/mod.rs
@@ -15,7 +15,7 @@
 
 #[derive(Clone, Copy)]
 pub(super) struct Attempt {
-    pub server: ServerId,
+    pub server: EndpointId,
     /// The server's zone and cell: the request's group outlives the server.
     pub place: (u32, u32),
     pub sent: Micros,
@@ -35,7 +35,7 @@
     pub stream: bool,
 }
 
-impl Controller {
+impl DecisionEngine {
     pub(super) fn launch(&mut self, id: &RequestId, new: bool, out: &mut Vec<Action>) {
         match self.choose(id, None) {
             Some(to) => self.send(id, to, out),
@@ -44,7 +44,7 @@
         self.virtual_time += if new { (1e6 / self.subset_warmth.max(1.0)) as Micros } else { 0 };
     }
 
-    fn send(&mut self, id: &RequestId, (server, warmth): (ServerId, f64), out: &mut Vec<Action>) {
+    fn send(&mut self, id: &RequestId, (server, warmth): (EndpointId, f64), out: &mut Vec<Action>) {
         let now = self.now;
         let (Some(r), Some(s)) = (self.requests.get_mut(id), self.servers.sent(server, now)) else { return };
         s.slow_start.refill(self.virtual_time, warmth, 1.5);
@@ -52,27 +52,29 @@
         self.retries = (self.retries + if r.attempts == 0 { RETRY_SHARE } else { -1.0 }).min(RETRY_STORE);
         r.attempts += 1;
         r.in_flight = Some(Attempt { server, place: (s.told.zone, s.told.cell), sent: now });
-        self.customers.entry(r.ask.customer).and_modify(|c| c.open += 1);
-        out.push(Action::Send { id: id.clone(), server, timeout: 0 });
+        self.customers.entry(r.ask.account).and_modify(|c| c.open += 1);
+        out.push(Action::StartAttempt { request: id.clone(), endpoint: server, timeout: 0 });
     }
 
-    pub(super) fn on_ended(&mut self, end: Ended, out: &mut Vec<Action>) {
+    pub(super) fn on_ended(&mut self, end: EndedAttempt, out: &mut Vec<Action>) {
         let (now, bound) = (self.now, self.latency_bound());
-        let Some(r) = self.requests.get_mut(&end.id) else { return };
-        let Some(a) = r.in_flight.take_if(|_| end.attempt == r.attempts - 1) else { return };
+        let Some(r) = self.requests.get_mut(&end.request) else { return };
+        let Some(a) = r.in_flight.take_if(|_| end.attempt_number == r.attempts - 1) else { return };
         let (server, sent) = (a.server, a.sent);
-        let may_have_run = !matches!(end.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Ignored);
+        let may_have_run =
+            !matches!(end.outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent);
         r.ran = r.ran.or(may_have_run.then_some(a));
-        r.answered |= end.finished;
-        self.customers.entry(r.ask.customer).and_modify(|c| c.open = c.open.saturating_sub(1));
+        r.answered |= end.request_completed;
+        self.customers.entry(r.ask.account).and_modify(|c| c.open = c.open.saturating_sub(1));
         let Some(s) = self.servers.ended(server, sent) else { return };
         // Danger: servers that fail one class, or turn one plan away, and serve the rest. They are passed
         // over for that kind alone, by what else is known of it (outlier ejection by success rate).
-        let (ok, bad) = (end.outcome == Outcome::Ok, matches!(end.outcome, Outcome::Error | Outcome::Full));
+        let (ok, bad) =
+            (end.outcome == Outcome::Ok, matches!(end.outcome, Outcome::Error | Outcome::Rejected));
         // Danger: servers that lose part of what they take and answer the rest. An answer clears all strikes,
         // and a node that meets each server seldom would learn of each loss anew.
         let unanswered = matches!(end.outcome, Outcome::TimedOut | Outcome::Cancelled);
-        let lost = unanswered && s.heard < sent && end.spent as f64 > bound;
+        let lost = unanswered && s.heard < sent && end.elapsed as f64 > bound;
         let kinds = [(r.ask.class, bad), (self.set.classes.len() + r.ask.plan, bad), (LOST, lost)];
         for (kind, failed) in kinds.into_iter().filter(|&(_, failed)| failed || ok) {
             for tally in [&mut s.tally, &mut self.tally] {
@@ -86,14 +88,14 @@
         // enough. It does harm where servers die while many others break: each takes two or three more.
         let common = self.breaks.mean(now, 0.0, TALLY_SPAN);
         let broke = end.outcome == Outcome::Reset;
-        if broke || matches!(end.outcome, Outcome::Ok | Outcome::Error | Outcome::Full) {
+        if broke || matches!(end.outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
             self.breaks.add(now, if broke { 1.0 } else { 0.0 }, TALLY_SPAN);
             s.breaks = if broke { s.breaks + 1 } else { 0 };
         }
         let dead = s.breaks >= BREAKS_MOST || common.powi(s.breaks as i32) < BREAK_CHANCE;
         match end.outcome {
             Outcome::Ok => {
-                let sample = end.spent as f64;
+                let sample = end.elapsed as f64;
                 self.deviation += ((sample - self.latency).abs() - self.deviation) * LATENCY_GAIN / 2.0;
                 self.latency += (sample - self.latency) * LATENCY_GAIN / 2.0;
                 if s.latency < 2.0 * self.latency {
@@ -112,14 +114,14 @@
             Outcome::TimedOut | Outcome::Cancelled if quiet => self.eject(server),
             _ => {}
         }
-        if self.requests.get(&end.id).is_some_and(|r| r.answered) {
-            return self.close(&end.id);
+        if self.requests.get(&end.request).is_some_and(|r| r.answered) {
+            return self.close(&end.request);
         }
-        let again = end.outcome != Outcome::Ignored && self.may_resend(&end.id);
-        let pick = || self.choose(&end.id, Some(server)).or_else(|| self.choose(&end.id, None));
+        let again = end.outcome != Outcome::NotSent && self.may_resend(&end.request);
+        let pick = || self.choose(&end.request, Some(server)).or_else(|| self.choose(&end.request, None));
         match again.then(pick).flatten() {
-            Some(next) => self.send(&end.id, next, out),
-            None => self.give_up(&end.id, out),
+            Some(next) => self.send(&end.request, next, out),
+            None => self.give_up(&end.request, out),
         }
     }
 
@@ -127,16 +129,18 @@
     fn may_resend(&self, id: &RequestId) -> bool {
         let Some(r) = self.requests.get(id) else { return false };
         let class = &self.set.classes[r.ask.class];
-        let fits = r.attempts < self.set.limits.try_limit
-            && self.now + self.latency as Micros / 2 < r.ask.due
+        let fits = r.attempts < self.set.limits.max_attempts
+            && self.now + self.latency as Micros / 2 < r.ask.deadline
             && !(r.answered || r.stream)
             && self.retries >= 1.0;
         // An attempt still out counts as one that may have run.
-        fits && match (class.effect, r.ran.or(r.in_flight)) {
-            (Effect::Safe, _) | (_, None) => true,
+        fits && match (class.idempotency, r.ran.or(r.in_flight)) {
+            (Idempotency::Safe, _) | (_, None) => true,
             // Danger: it counts when it is written, and its connection may come up late.
-            (Effect::Keyed, Some(a)) => self.now + self.set.limits.connect < a.sent + class.window,
-            (Effect::Unsafe, Some(_)) => false,
+            (Idempotency::Keyed, Some(a)) => {
+                self.now + self.set.limits.connect_timeout < a.sent + class.deduplication_window
+            }
+            (Idempotency::NonIdempotent, Some(_)) => false,
         }
     }
 
@@ -144,17 +148,18 @@
     pub(super) fn give_up(&mut self, id: &RequestId, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get(id) else { return };
         let class = &self.set.classes[r.ask.class];
-        let dropped = class.effect == Effect::Keyed && class.group == Group::All;
-        let harmless = r.ran.is_none() || dropped || class.effect == Effect::Safe;
+        let dropped =
+            class.idempotency == Idempotency::Keyed && class.deduplication_scope == DeduplicationScope::All;
+        let harmless = r.ran.is_none() || dropped || class.idempotency == Idempotency::Safe;
         if harmless {
             return self.refuse(id, 0, out);
         }
-        out.push(Action::Fail { id: id.clone() });
+        out.push(Action::Fail { request: id.clone() });
         self.close(id);
     }
 
     pub(super) fn refuse(&mut self, id: &RequestId, retry_after: Micros, out: &mut Vec<Action>) {
-        out.push(Action::Refuse { id: id.clone(), retry_after });
+        out.push(Action::Reject { request: id.clone(), retry_after });
         self.close(id);
     }
 
@@ -162,7 +167,7 @@
     pub(super) fn close(&mut self, id: &RequestId) {
         let Some(r) = self.requests.get_mut(id) else { return };
         r.answered = true;
-        if let Some(c) = self.customers.get_mut(&r.ask.customer).filter(|_| r.attempts == 0) {
+        if let Some(c) = self.customers.get_mut(&r.ask.account).filter(|_| r.attempts == 0) {
             c.lease += r.drew;
             // Danger: a client may use an id again at once, and a place left behind would send it twice.
             c.waiting.retain(|waiting| waiting != id);
@@ -181,13 +186,13 @@
             let Some(a) = r.in_flight else { continue };
             let silent = self.servers.get(a.server).is_some_and(|s| self.silent(s) || s.ejected > self.now);
             let age = self.now.saturating_sub(a.sent) as f64;
-            if silent && age > self.latency_bound() && self.set.limits.cancel && self.may_resend(id) {
+            if silent && age > self.latency_bound() && self.set.limits.cancel_allowed && self.may_resend(id) {
                 late.push((id.clone(), r.attempts - 1, a.server));
             }
         }
         for (id, attempt, server) in late {
             self.eject(server);
-            out.push(Action::Cancel { id, attempt });
+            out.push(Action::CancelAttempt { request: id, attempt_number: attempt });
         }
     }
 }
--- a/src/control/choice.rs
+++ b/src/decision/balancer/mod.rs
@@ -1,5 +1,7 @@
 //! Choice of a server for an attempt: the subset, health, cold starts.
 
+pub(super) mod endpoint_table;
+
 use super::*;
 
 /// First ejection of a suspect server; doubles up to the last.
@@ -19,31 +21,43 @@
 /// The kind under which attempts are tallied that got no answer in time, whatever their class and plan.
 pub(super) const LOST: usize = usize::MAX;
 
-impl Controller {
-    pub(super) fn on_members(&mut self, kind: ListKind, entries: Vec<Member>, out: &mut Vec<Action>) {
-        if kind == ListKind::Stale || (kind == ListKind::Lost && self.set.list_on_request) {
+impl DecisionEngine {
+    pub(super) fn on_members(
+        &mut self,
+        kind: EndpointUpdateKind,
+        entries: Vec<EndpointEntry>,
+        out: &mut Vec<Action>,
+    ) {
+        if kind == EndpointUpdateKind::StaleSnapshot
+            || (kind == EndpointUpdateKind::WatchLost && self.set.polls_endpoint_list)
+        {
             // Danger: an old list after a restart names dead servers and hides cold ones. Ask anew.
-            out.push(if self.set.list_on_request { Action::WatchList } else { Action::FetchList });
+            out.push(if self.set.polls_endpoint_list {
+                Action::WatchEndpoints
+            } else {
+                Action::FetchEndpoints
+            });
         }
-        if kind == ListKind::Lost {
+        if kind == EndpointUpdateKind::WatchLost {
             return;
         }
         // Danger: a whole request for free at each of a hundred nodes pushes a cold server over at once.
         let mut slow_start = || Bucket { store: uniform(&mut self.random), at: self.virtual_time };
         let entries = entries.into_iter().map(|m| (m, slow_start())).collect();
-        self.servers.take(kind != ListKind::Changes, entries, (self.now, self.latency));
+        self.servers.take(kind != EndpointUpdateKind::Delta, entries, (self.now, self.latency));
         self.forget();
     }
 
     /// The share of its capacity that a server surely has by now.
     fn warmth(&self, s: &Server) -> f64 {
-        let rules = &self.set.rules;
-        if s.told.started == 0 || rules.cold == 0 {
+        let rules = &self.set.warm_up;
+        if s.told.started_at == 0 || rules.duration == 0 {
             return 1.0;
         }
-        let age = self.now.saturating_sub(s.told.started) as f64 / rules.cold as f64;
-        let (pace, quick) = (COLD_PACE.min(rules.fall_multiple / 2.0).max(1.0), s.latency < self.latency);
-        ((if quick { pace } else { 1.0 }) * (rules.cold_from + (1.0 - rules.cold_from) * age)).min(1.0)
+        let age = self.now.saturating_sub(s.told.started_at) as f64 / rules.duration as f64;
+        let (pace, quick) = (COLD_PACE.min(rules.overload_multiple / 2.0).max(1.0), s.latency < self.latency);
+        ((if quick { pace } else { 1.0 }) * (rules.initial_fraction + (1.0 - rules.initial_fraction) * age))
+            .min(1.0)
     }
 
     /// An attempt out for longer than this is past what the fleet usually needs.
@@ -64,15 +78,18 @@
     /// meet every server so seldom that it pays for a handshake each time and learns of each only by being
     /// harmed. The ids, in the same order at all nodes, are shared out by the nodes' numbers, so that each
     /// server is in as many subsets as any other. The next ones stand in for those that are ejected.
-    pub(super) fn choose(&mut self, id: &RequestId, not: Option<ServerId>) -> Option<(ServerId, f64)> {
+    pub(super) fn choose(&mut self, id: &RequestId, not: Option<EndpointId>) -> Option<(EndpointId, f64)> {
         let r = self.requests.get(id)?;
         let class = &self.set.classes[r.ask.class];
-        let (safe, by_cell) = (class.effect == Effect::Safe, class.group == Group::Cell);
-        let ran = r.ran.filter(|_| class.effect == Effect::Keyed && class.group != Group::All);
+        let (safe, by_cell) =
+            (class.idempotency == Idempotency::Safe, class.deduplication_scope == DeduplicationScope::Cell);
+        let ran = r.ran.filter(|_| {
+            class.idempotency == Idempotency::Keyed && class.deduplication_scope != DeduplicationScope::All
+        });
         let bound = ran.map(|a| if by_cell { a.place.1 } else { a.place.0 });
-        let (listed, nodes) = (self.servers.ring.len(), self.set.nodes.max(1) as usize);
+        let (listed, nodes) = (self.servers.ring.len(), self.set.node_count.max(1) as usize);
         let most = (listed * COVER).div_ceil(nodes).max(SUBSET_LEAST);
-        let first = self.set.me as usize * listed / nodes % listed.max(1);
+        let first = self.set.node_index as usize * listed / nodes % listed.max(1);
         let round = (first..first + listed).map(|place| self.servers.at(place)).enumerate();
         let subset = round.filter(|(_, s)| s.ejected <= self.now).take(most);
         let (reach, warm) = subset.fold((0, 0.0), |(_, warm), (n, s)| (n + 1, warm + self.warmth(s)));
@@ -105,7 +122,7 @@
             };
             let s = self.servers.at(place);
             let group = if by_cell { s.told.cell } else { s.told.zone };
-            if bound.is_some_and(|bound| bound != group) || Some(s.told.server) == not {
+            if bound.is_some_and(|bound| bound != group) || Some(s.told.id) == not {
                 continue;
             }
             let warmth = self.warmth(s);
@@ -126,7 +143,7 @@
             let slowness = (s.latency / self.latency).clamp(0.25, 4.0);
             let lot = -(1.0 - uniform(&mut self.random)).ln();
             let cost = slowness * (load + 1.0 - blind + blind * lot) / (s.told.weight * warmth.max(0.05));
-            let far = if s.told.zone == self.set.zone { 1.0 } else { 1.0 + 2.0 * self.set.cross_zone_price };
+            let far = if s.told.zone == self.set.zone { 1.0 } else { 1.0 + 2.0 * self.set.cross_zone_cost };
             let risk = |(kind, prior)| s.tally.get(&kind).map_or(prior, |t| t.mean(now, prior, TALLY_SPAN));
             let [class, plan, lost] = if failing { kinds.map(risk) } else { [0.0; 3] };
             // Where a node always has work out at a server, silence shows by itself.
@@ -134,13 +151,13 @@
             let cost = cost * far * (1.0 + FAIL_COST * fails).powi(2);
             let order = (closed, !near, !due, cost);
             if best.is_none_or(|(b, _)| order < b) {
-                best = Some((order, (s.told.server, warmth)));
+                best = Some((order, (s.told.id, warmth)));
             }
         }
         best.map(|(_, to)| to)
     }
 
-    pub(super) fn eject(&mut self, key: ServerId) {
+    pub(super) fn eject(&mut self, key: EndpointId) {
         let Some(s) = self.servers.get_mut(key).filter(|s| s.ejected <= self.now) else { return };
         s.ejected = self.now + (EJECT << s.strikes.min(8)).min(EJECT_MAX);
         s.strikes += 1;
--- a/src/control/numbers.rs
+++ b/src/decision/estimators/mod.rs
@@ -1,6 +1,6 @@
 //! Rates, means and buckets over given time, and the random numbers of a node.
 
-use crate::interface::Micros;
+use crate::decision::Micros;
 
 /// Exponentially weighted rate, units a second.
 #[derive(Clone, Copy, Default)]
--- a/src/control/overload.rs
+++ b/src/decision/load_shedding.rs
@@ -16,7 +16,7 @@
 pub(super) const SHED_CHEAPEST: f64 = 0.25;
 pub(super) const SHED_DEAREST: f64 = 0.48;
 
-impl Controller {
+impl DecisionEngine {
     /// If the fleet is full for this request, how soon it is not, if nothing more were sent: what is expected
     /// is smoothed, so it falls by a constant share each tick.
     /// Danger: a full fleet, where everything is answered late. The cheapest work goes first. Judged by what
@@ -24,9 +24,9 @@
     pub(super) fn overloaded(&self, new: &NewRequest) -> Option<Micros> {
         let plan = self.set.plans.get(new.plan)?;
         let class = &self.set.classes[new.class];
-        let credit = self.set.classes.iter().map(|c| c.credit).fold(1e-9, f64::max);
-        let factor = self.set.plans.iter().map(|p| p.worth_factor).fold(1e-9, f64::max);
-        let rank = class.credit / credit * plan.worth_factor / factor;
+        let credit = self.set.classes.iter().map(|c| c.priority_weight).fold(1e-9, f64::max);
+        let factor = self.set.plans.iter().map(|p| p.weight_factor).fold(1e-9, f64::max);
+        let rank = class.priority_weight / credit * plan.weight_factor / factor;
         let share = SHED_CHEAPEST + (SHED_DEAREST - SHED_CHEAPEST) * rank;
         // All classes queue at the same servers: the shortest aim rules, or the patient class takes all.
         // Danger: of a few answers the mean swings far, and each node would shed at its own chance highs.
@@ -49,12 +49,15 @@
     }
 
     pub(super) fn shortest_aim(&self) -> f64 {
-        self.set.classes.iter().map(|c| c.on_time).min().unwrap_or(0) as f64
+        self.set.classes.iter().map(|c| c.latency_objective).min().unwrap_or(0) as f64
     }
 
     /// Whether overload is judged by a server.
     pub(super) fn answers(&self, s: &Server) -> bool {
-        s.told.state == MemberState::In && s.strikes == 0 && s.latency < 2.0 * self.latency && !self.silent(s)
+        s.told.state == EndpointState::Active
+            && s.strikes == 0
+            && s.latency < 2.0 * self.latency
+            && !self.silent(s)
     }
 
     /// How many attempts a server is at. Danger: what hung before the last ejection, and what got lost while
--- a/src/control.rs
+++ b/src/decision/mod.rs
@@ -1,25 +1,34 @@
-//! The decisions of one gateway node. The types it speaks are in `src/interface.rs`.
+//! The decisions of one gateway node. The types it speaks are in `event`, `action` and `settings`.
 //! The ordinary path is DSRT (docs/design.md): a request within its customer's quota draws on this
 //! node's lease and goes to a server; beyond the quota it is refused with a spaced retry-after.
-//! Reading order: this file, then quota, deferral, choice, attempts, overload; numbers and roster serve them.
+//! Reading order: this file, then quota, deferral, balancer, attempts, load_shedding; estimators serve them.
 
+mod action;
 mod attempts;
-mod choice;
+mod balancer;
 mod deferral;
-mod numbers;
-mod overload;
+mod estimators;
+mod event;
+mod identifiers;
+mod load_shedding;
 mod quota;
-mod roster;
+mod settings;
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::interface::*;
+pub use action::Action;
+pub use event::{EndedAttempt, EndpointEntry, EndpointState, EndpointUpdateKind, Event, NewRequest, Outcome};
+pub use identifiers::{AccountId, CounterKey, EndpointId, Micros, RequestId};
+pub use settings::{
+    CounterSettings, DeduplicationScope, Idempotency, Limits, Plan, RequestClass, Settings, WarmUp,
+};
+
 use attempts::{Request, LATENCY_START, RETRY_STORE};
-use choice::{LOST, TALLY_SPAN};
-use numbers::{mix, uniform, Bucket, Rate, Tally, GOLDEN};
-use overload::{DONE_SPAN, HELD_GAIN, MEAN_SPAN, SHED_CHEAPEST, SHED_DEAREST};
+use balancer::endpoint_table::{Roster, Server, LOOKS};
+use balancer::{LOST, TALLY_SPAN};
+use estimators::{mix, uniform, Bucket, Rate, Tally, GOLDEN};
+use load_shedding::{DONE_SPAN, HELD_GAIN, MEAN_SPAN, SHED_CHEAPEST, SHED_DEAREST};
 use quota::{dearest, Call, Customer, COUNTER_BACKOFF, GUESS_STORE, KEEP, LEASE_IDLE, RATE_SPAN};
-use roster::{Roster, Server, LOOKS};
 
 /// Housekeeping period: rescues, half-open servers, held requests, give-backs.
 const TICK: Micros = 20_000;
@@ -29,7 +38,7 @@
 
 /// The decision module of one node.
 #[derive(Default)]
-pub struct Controller {
+pub struct DecisionEngine {
     set: Settings,
     random: u64,
     now: Micros,
@@ -39,11 +48,11 @@
     swept: Micros,
     /// A planned stop: what is granted from here on and serves nobody goes back at once.
     stopping: bool,
-    customers: BTreeMap<CustomerId, Customer>,
+    customers: BTreeMap<AccountId, Customer>,
     /// Calls out, by name: one at a time for a customer.
-    calls: BTreeMap<CountName, CustomerId>,
+    calls: BTreeMap<CounterKey, AccountId>,
     /// Calls that timed out and may yet be answered, by name, the oldest first.
-    expired: BTreeMap<CountName, VecDeque<(CustomerId, Call)>>,
+    expired: BTreeMap<CounterKey, VecDeque<(AccountId, Call)>>,
     counter_backoff: Micros,
     counter_until: Micros,
     /// The share of requests without a lease that ask the counter: AIMD on its answers.
@@ -74,10 +83,10 @@
     retries: f64,
 }
 
-impl Controller {
+impl DecisionEngine {
     /// A node at its start. It knows no servers until the first list comes.
     pub fn new(seed: u64, set: Settings) -> Self {
-        Controller {
+        DecisionEngine {
             random: seed,
             counter_backoff: COUNTER_BACKOFF,
             ask_share: 1.0,
@@ -87,7 +96,7 @@
             guesses: GUESS_STORE * dearest(&set),
             servers: Roster::new(&set.classes),
             set,
-            ..Controller::default()
+            ..DecisionEngine::default()
         }
     }
 
@@ -96,22 +105,24 @@
         self.now = self.now.max(now);
         if self.begun.is_none() {
             self.begun = Some(now);
-            out.push(Action::Timer { id: 0, after: TICK });
+            out.push(Action::SetTimer { id: 0, after: TICK });
         }
         match event {
-            Event::Members { kind, entries } => self.on_members(kind, entries, out),
-            Event::Request(new) => self.on_request(new, out),
-            Event::Began { id } => self.requests.get_mut(&id).into_iter().for_each(|r| r.stream = true),
-            Event::Ended(end) => self.on_ended(end, out),
-            Event::Gone { id } => self.close(&id),
-            Event::Counted { name, outcome, total } => self.on_count(name, outcome, total, out),
-            Event::CountedLate { name, outcome, total } => self.on_late(name, outcome, total, out),
-            Event::Timer { .. } => self.on_tick(out),
-            Event::Stopping => {
+            Event::EndpointsUpdated { kind, entries } => self.on_members(kind, entries, out),
+            Event::RequestReceived(new) => self.on_request(new, out),
+            Event::ResponseStarted { request: id } => {
+                self.requests.get_mut(&id).into_iter().for_each(|r| r.stream = true)
+            }
+            Event::AttemptEnded(end) => self.on_ended(end, out),
+            Event::ClientDisconnected { request: id } => self.close(&id),
+            Event::CounterReplied { key: name, outcome, total } => self.on_count(name, outcome, total, out),
+            Event::LateCounterReply { key: name, outcome, total } => self.on_late(name, outcome, total, out),
+            Event::TimerFired { .. } => self.on_tick(out),
+            Event::ShutdownStarted => {
                 self.stopping = true;
                 self.hand_back(0, out);
             }
-            Event::Probed { .. } => {}
+            Event::ProbeCompleted { .. } => {}
         }
     }
 
@@ -126,14 +137,16 @@
     }
 
     fn on_tick(&mut self, out: &mut Vec<Action>) {
-        out.push(Action::Timer { id: 0, after: TICK });
+        out.push(Action::SetTimer { id: 0, after: TICK });
         let now = self.now;
         let held: usize = self.servers.met().filter(|s| self.answers(s)).map(|s| self.working(s)).sum();
         self.held += (held as f64 - self.held) * HELD_GAIN;
         for id in std::mem::take(&mut self.parked) {
             let Some(r) = self.requests.get(&id) else { continue };
             // Danger: what is turned away late has cost its client the time to go elsewhere.
-            let patience = self.set.classes[r.ask.class].on_time.min(r.ask.due.saturating_sub(r.arrived) / 2);
+            let patience = self.set.classes[r.ask.class]
+                .latency_objective
+                .min(r.ask.deadline.saturating_sub(r.arrived) / 2);
             if now + 2 * TICK >= r.arrived + patience {
                 self.give_up(&id, out);
             } else {
@@ -141,7 +154,7 @@
             }
         }
         self.rescue(out);
-        let silent: Vec<_> = self.servers.met().filter(|s| self.silent(s)).map(|s| s.told.server).collect();
+        let silent: Vec<_> = self.servers.met().filter(|s| self.silent(s)).map(|s| s.told.id).collect();
         silent.into_iter().for_each(|key| self.eject(key));
         if now >= self.swept + SWEEP {
             self.swept = now;
--- a/src/control/quota.rs
+++ b/src/decision/quota/mod.rs
@@ -83,16 +83,22 @@
     Beyond,
 }
 
-impl Controller {
+impl DecisionEngine {
     pub(super) fn on_request(&mut self, mut ask: NewRequest, out: &mut Vec<Action>) {
         if ask.class >= self.set.classes.len() || self.requests.contains_key(&ask.id) {
             return;
         }
-        let (now, id, key) = (self.now, ask.id.clone(), ask.customer);
+        let (now, id, key) = (self.now, ask.id.clone(), ask.account);
         ask.units = if ask.units.is_finite() { ask.units.max(0.0) } else { 1.0 };
-        let spread = ask.spread.clamp(1, self.set.nodes.max(1)) as f64;
+        let spread = ask.account_node_count.clamp(1, self.set.node_count.max(1)) as f64;
         // Danger: under a hard ceiling nodes may restart in any number while the counter is empty.
-        let first = |p: &Plan| if p.ceiling_rate > 0.0 { p.burst / spread / 2.0 } else { p.burst };
+        let first = |p: &Plan| {
+            if p.ceiling_units_per_second > 0.0 {
+                p.burst_units / spread / 2.0
+            } else {
+                p.burst_units
+            }
+        };
         let level = self.set.plans.get(ask.plan).map_or(0.0, first);
         let fresh = || Customer { level, level_at: now, mean: ask.units, ..Customer::default() };
         let c = self.customers.entry(key).or_insert_with(fresh);
@@ -100,19 +106,19 @@
         c.asked.add(now, ask.units, RATE_SPAN);
         c.mean += (ask.units - c.mean) * 0.1;
         if let Some(p) = self.set.plans.get(ask.plan) {
-            let worth = self.set.classes[ask.class].credit * p.worth_factor * ask.units;
+            let worth = self.set.classes[ask.class].priority_weight * p.weight_factor * ask.units;
             self.guesses = (self.guesses + GUESS_SHARE * worth).min(GUESS_STORE * dearest(&self.set));
         }
-        if !ask.marked_retry {
-            self.patience.insert(ask.class, ask.due.saturating_sub(now));
+        if !ask.is_retry {
+            self.patience.insert(ask.class, ask.deadline.saturating_sub(now));
         }
         // Danger: a try that comes as its client gives up is overdue before any answer could come.
         if let Some(over) = self.overloaded(&ask) {
-            let told = self.set.limits.retry_after && !ask.marked_retry;
+            let told = self.set.limits.retry_after_allowed && !ask.is_retry;
             let relief = over.clamp(TICK, self.set.limits.max_retry_after.max(TICK));
             return self.refuse(&id, if told { relief } else { 0 }, out);
         }
-        if ask.marked_retry && self.hopeless(&ask) || now + TICK + self.latency as Micros / 4 > ask.due {
+        if ask.is_retry && self.hopeless(&ask) || now + TICK + self.latency as Micros / 4 > ask.deadline {
             return self.refuse(&id, 0, out);
         }
         let (attempts, in_flight, ran, answered, stream) = (0, None, None, false, false);
@@ -129,14 +135,14 @@
     /// gives up, is past the aim. A new try's span tells nothing of that, so an equal one is let be.
     fn hopeless(&self, new: &NewRequest) -> bool {
         let class = &self.set.classes[new.class];
-        let span = new.due.saturating_sub(self.now);
+        let span = new.deadline.saturating_sub(self.now);
         let fresh = self.patience.get(&new.class).is_some_and(|&p| p.abs_diff(span) < p / 50);
-        let gone = class.deadline.saturating_sub(span) as f64;
-        !fresh && class.late_worth < 0.5 && gone + self.latency / 2.0 > class.on_time as f64
+        let gone = class.total_timeout.saturating_sub(span) as f64;
+        !fresh && class.late_weight < 0.5 && gone + self.latency / 2.0 > class.latency_objective as f64
     }
 
     fn counter_up(&self) -> bool {
-        self.set.counter.allowed && self.now >= self.counter_until
+        self.set.counter.enabled && self.now >= self.counter_until
     }
 
     /// Draws a request's units from the lease, or says whether to wait for a refill.
@@ -144,16 +150,17 @@
         let (now, up) = (self.now, self.counter_up());
         let silent = self.counter_backoff >= COUNTER_BACKOFF_MAX;
         let Some(r) = self.requests.get_mut(id) else { return Verdict::Beyond };
-        let Some(c) = self.customers.get_mut(&r.ask.customer) else { return Verdict::Beyond };
+        let Some(c) = self.customers.get_mut(&r.ask.account) else { return Verdict::Beyond };
         let Some(plan) = self.set.plans.get(r.ask.plan) else { return Verdict::Granted };
-        let (key, units, credit) = (r.ask.customer, r.ask.units, self.set.classes[r.ask.class].credit);
+        let (key, units, credit) =
+            (r.ask.account, r.ask.units, self.set.classes[r.ask.class].priority_weight);
         // Slots are shared by what the other nodes' recent draws keep out, one slot at least.
-        let (slots, drawn) = (plan.open_limit as f64, c.others.get(now, RATE_SPAN) / c.mean.max(0.1));
+        let (slots, drawn) = (plan.max_in_flight as f64, c.others.get(now, RATE_SPAN) / c.mean.max(0.1));
         let away = if c.seen.is_some() { drawn * self.latency / 1e6 } else { slots * (1.0 - 1.0 / c.spread) };
-        if plan.open_limit > 0 && c.open as f64 + away + 0.5 > slots.max(away + 1.5) {
+        if plan.max_in_flight > 0 && c.open as f64 + away + 0.5 > slots.max(away + 1.5) {
             return Verdict::Beyond;
         }
-        if plan.quota_rate <= 0.0 {
+        if plan.quota_units_per_second <= 0.0 {
             return Verdict::Granted;
         }
         if c.lease >= units && (!may_wait || c.waiting.is_empty()) {
@@ -182,12 +189,13 @@
         // What is asked about is drawn by what a wrong guess would cost.
         let prior = self.looks.get(&c.plan).map_or(0.3, |t| t.mean(now, 0.3, TALLY_SPAN));
         let risk = c.looks.mean(now, prior, TALLY_SPAN);
-        let cost = plan.excess_cost - plan.extra_worth;
-        let worth = plan.worth_factor * units * credit;
+        let cost = plan.over_quota_cost - plan.over_quota_weight;
+        let worth = plan.weight_factor * units * credit;
         let stake = (1.0 - risk).min(risk * cost.max(0.0)) * worth;
         // In a full fleet what is let in crowds out others: doubtful tries are the first to go.
-        let slight = plan.burst / c.spread < c.mean;
-        let trusted = slight && plan.ceiling_rate <= 0.0 && 1.0 - risk > risk * cost + crowd * CROWD;
+        let slight = plan.burst_units / c.spread < c.mean;
+        let trusted =
+            slight && plan.ceiling_units_per_second <= 0.0 && 1.0 - risk > risk * cost + crowd * CROWD;
         self.stakes += (stake - self.stakes) * if may_wait { 0.02 } else { 0.0 };
         let odds = self.ask_share * (stake / self.stakes.max(1e-9)).clamp(0.2, 5.0);
         let chance = odds / (1.0 - self.ask_share + odds);
@@ -201,7 +209,7 @@
         let part = 1.0 / c.spread;
         let start = left.max(0.0) * part * if c.seen.is_some() { 1.0 } else { 0.5 };
         let share = c.share.get_or_insert(Bucket { store: start, at: now });
-        share.refill(now, plan.quota_rate * part, plan.burst * part);
+        share.refill(now, plan.quota_units_per_second * part, plan.burst_units * part);
         // Danger: the gain of many guesses hides what they let through, and quotas would not hold. They hold
         // nobody's quota while the counter is silent: nothing better is known then.
         let (even, price) = (c.lease + share.store >= units, risk * cost.max(0.0) * worth);
@@ -219,12 +227,12 @@
     }
 
     /// Calls for a demand-sized block, no more than the bucket seems to hold.
-    pub(super) fn refill(&mut self, key: CustomerId, need: f64, out: &mut Vec<Action>) {
+    pub(super) fn refill(&mut self, key: AccountId, need: f64, out: &mut Vec<Action>) {
         let Some(c) = self.customers.get(&key) else { return };
         let Some(plan) = self.set.plans.get(c.plan) else { return };
         let left = projected(c, plan, self.now);
         // Danger: whole requests lying at each of a hundred nodes would strand the burst of a slow customer.
-        let part = (LEASE_REQUESTS * c.mean).min(plan.burst / c.spread);
+        let part = (LEASE_REQUESTS * c.mean).min(plan.burst_units / c.spread);
         let block = (c.asked.get(self.now, RATE_SPAN) * LEASE_AHEAD / 1e6).max(part);
         let amount = (need - c.lease).max(block - c.lease).min((left / 2.0).max(need - c.lease)).max(0.0);
         if amount > 0.0 {
@@ -233,17 +241,17 @@
     }
 
     /// Calls for an amount; tells with it what was let in untold, and the burn.
-    fn count(&mut self, key: CustomerId, amount: f64, burn: f64, out: &mut Vec<Action>) {
+    fn count(&mut self, key: AccountId, amount: f64, burn: f64, out: &mut Vec<Action>) {
         let Some(c) = self.customers.get_mut(&key) else { return };
         let name = count_name(key, self.now);
         let proxy = amount.max(0.0) * std::mem::take(&mut c.stands);
         let (told, at) = (std::mem::take(&mut c.untold) + burn + proxy, self.now);
         c.call = Some(Call { amount, told, proxy, burn: burn.max(0.0), at, unread: 0, doubtful: false });
         self.calls.insert(name, key);
-        out.push(Action::Count { name, amount: amount + told, keep_for: KEEP });
+        out.push(Action::IncrementCounter { key: name, amount: amount + told, keep_for: KEEP });
     }
 
-    pub(super) fn on_count(&mut self, name: CountName, outcome: Outcome, total: f64, out: &mut Vec<Action>) {
+    pub(super) fn on_count(&mut self, name: CounterKey, outcome: Outcome, total: f64, out: &mut Vec<Action>) {
         let now = self.now;
         let Some(key) = self.calls.remove(&name) else { return };
         let Some(c) = self.customers.get_mut(&key) else { return };
@@ -257,14 +265,14 @@
             call.doubtful = outcome == Outcome::Reset;
             c.call = Some(call);
             self.calls.insert(name, key);
-            return out.push(Action::Count { name, amount: 0.0, keep_for: KEEP });
+            return out.push(Action::IncrementCounter { key: name, amount: 0.0, keep_for: KEEP });
         }
         let (mut excess, mut burn) = (0.0, 0.0);
         // Danger: a hundred nodes that ask for every request crowd the counter, and then none gets an answer.
-        let prompt = outcome == Outcome::Ok && now.saturating_sub(call.at) < self.set.counter.wait / 2;
+        let prompt = outcome == Outcome::Ok && now.saturating_sub(call.at) < self.set.counter.timeout / 2;
         if !spoilt {
             let next = if prompt { self.ask_share + ASK_MORE } else { self.ask_share * ASK_LESS };
-            self.ask_share = next.max(ASK_LEAST / self.set.nodes as f64).clamp(0.05, 1.0);
+            self.ask_share = next.max(ASK_LEAST / self.set.node_count as f64).clamp(0.05, 1.0);
         }
         if outcome == Outcome::Ok && total.is_finite() {
             (self.counter_backoff, self.counter_until) = (COUNTER_BACKOFF, 0);
@@ -293,7 +301,7 @@
     }
 
     /// Books the total of a call that was added; tells what is to go back, and what overflow to take off.
-    fn booked(&mut self, key: CustomerId, call: &mut Call, total: f64) -> (f64, f64) {
+    fn booked(&mut self, key: AccountId, call: &mut Call, total: f64) -> (f64, f64) {
         let Some(c) = self.customers.get_mut(&key) else { return (0.0, 0.0) };
         let Some(plan) = self.set.plans.get(c.plan) else { return (0.0, 0.0) };
         settle(c, key, self.now, call, total);
@@ -315,7 +323,7 @@
 
     /// Danger: a slow counter adds what a call asked for though its answer comes too late. Taken for draws of
     /// other nodes, these units would serve nobody, and the quota would look used up.
-    pub(super) fn on_late(&mut self, name: CountName, outcome: Outcome, total: f64, out: &mut Vec<Action>) {
+    pub(super) fn on_late(&mut self, name: CounterKey, outcome: Outcome, total: f64, out: &mut Vec<Action>) {
         let Some((key, mut call)) = self.expired.get_mut(&name).and_then(VecDeque::pop_front) else { return };
         let Some(c) = self.customers.get_mut(&key) else { return };
         match outcome {
@@ -329,13 +337,13 @@
                     self.count(key, -excess, 0.0, out);
                 }
             }
-            Outcome::Full | Outcome::ConnectFailed => not_added(c, &call),
+            Outcome::Rejected | Outcome::ConnectFailed => not_added(c, &call),
             _ => {}
         }
     }
 
     /// Lets in what waited for a lease, in order; what still lacks units is deferred.
-    fn serve_waiting(&mut self, key: CustomerId, out: &mut Vec<Action>) {
+    fn serve_waiting(&mut self, key: AccountId, out: &mut Vec<Action>) {
         while let Some(id) = self.customers.get_mut(&key).and_then(|c| c.waiting.pop_front()) {
             match self.draw(&id, false, out) {
                 Verdict::Granted => self.launch(&id, true, out),
@@ -360,8 +368,8 @@
         let now = self.now;
         self.servers.forget(now);
         let full = |c: &Customer| {
-            let plan = self.set.plans.get(c.plan).filter(|p| p.quota_rate > 0.0);
-            plan.map_or(0, |p| (p.burst / p.quota_rate * 1e6) as Micros).max(FORGET)
+            let plan = self.set.plans.get(c.plan).filter(|p| p.quota_units_per_second > 0.0);
+            plan.map_or(0, |p| (p.burst_units / p.quota_units_per_second * 1e6) as Micros).max(FORGET)
         };
         let idle = |c: &Customer| c.open == 0 && c.call.is_none() && c.waiting.is_empty();
         let over = |c: &Customer| now > c.used_at + if c.lease > c.mean / 2.0 { KEEP } else { full(c) };
@@ -371,15 +379,16 @@
 
 /// The worth of a unit of the dearest request.
 pub(super) fn dearest(set: &Settings) -> f64 {
-    let credit = set.classes.iter().map(|c| c.credit).fold(0.0, f64::max);
-    credit * set.plans.iter().map(|p| p.worth_factor).fold(0.0, f64::max)
+    let credit = set.classes.iter().map(|c| c.priority_weight).fold(0.0, f64::max);
+    credit * set.plans.iter().map(|p| p.weight_factor).fold(0.0, f64::max)
 }
 
 /// What the fleet's bucket should hold now, if the others go on drawing as they did.
 fn projected(c: &Customer, plan: &Plan, now: Micros) -> f64 {
     let span = now.saturating_sub(c.level_at) as f64 / 1e6;
-    let net = (plan.quota_rate - c.others.get(now, RATE_SPAN)).max(plan.quota_rate / c.spread);
-    (c.level + net * span).min(plan.burst - c.lease)
+    let net = (plan.quota_units_per_second - c.others.get(now, RATE_SPAN))
+        .max(plan.quota_units_per_second / c.spread);
+    (c.level + net * span).min(plan.burst_units - c.lease)
 }
 
 /// Takes back what a call was to tell and was not added. Of a call that was read again this says nothing.
@@ -393,7 +402,7 @@
 /// Clears up whether a doubtful call was added. Danger: what others drew must not be granted here as well. So
 /// it counts as added only if the total grew by its very amount, as not added only if by less; else its units
 /// stay with the counter and nobody gets them, which costs a customer with little left.
-fn settle(c: &mut Customer, key: CustomerId, now: Micros, call: &mut Call, total: f64) {
+fn settle(c: &mut Customer, key: AccountId, now: Micros, call: &mut Call, total: f64) {
     let last = c.seen.filter(|&(w, _)| w == window_of(key, now)).map_or(0.0, |(_, last)| last);
     let (sum, grown) = (call.amount + call.told, total - last);
     let exact = total.abs().max(1.0) * 2e-6;
@@ -408,40 +417,40 @@
 
 /// Books a total. Returns what of the call's amount does not fit into the bucket, and what of the filling
 /// found the bucket full and is to be taken off the total, once that is enough.
-fn book(c: &mut Customer, plan: &Plan, key: CustomerId, now: Micros, call: &Call, total: f64) -> (f64, f64) {
+fn book(c: &mut Customer, plan: &Plan, key: AccountId, now: Micros, call: &Call, total: f64) -> (f64, f64) {
     let (amount, window) = (call.amount, window_of(key, now));
     let secs = |from: Micros| now.saturating_sub(from) as f64 / 1e6;
     let last = c.seen.filter(|&(w, _)| w == window).map(|(_, last)| last);
-    let fallen = last.is_some_and(|last| total + plan.burst / 2.0 < last + amount);
+    let fallen = last.is_some_and(|last| total + plan.burst_units / 2.0 < last + amount);
     let delta = total - last.filter(|_| !fallen).unwrap_or(total - amount);
     let others = (delta - amount - call.told).max(0.0);
     c.others.add(now, others, RATE_SPAN);
     let start = (window * WINDOW).saturating_sub(mix(key.0) % WINDOW);
-    let level = plan.burst + plan.quota_rate * secs(start) - total;
+    let level = plan.burst_units + plan.quota_units_per_second * secs(start) - total;
     // Danger: a total that fell (flushed, or empty after a restart) tells nothing of the past. The level is
     // carried on, less what the others draw; under a hard ceiling always, since no total may grant a burst
     // twice.
-    let carried = fallen || plan.ceiling_rate > 0.0;
+    let carried = fallen || plan.ceiling_units_per_second > 0.0;
     let unseen = if last.is_none() || fallen { c.others.get(now, RATE_SPAN) * secs(c.level_at) } else { 0.0 };
-    let grown = (c.level + plan.quota_rate * secs(c.level_at)).min(plan.burst);
+    let grown = (c.level + plan.quota_units_per_second * secs(c.level_at)).min(plan.burst_units);
     c.level = if carried { grown - delta - unseen } else { level.min(grown - amount) };
     (c.level_at, c.seen) = (now, Some((window, total)));
     let asked = amount.max(0.0);
     let fit = (asked + (c.level + call.proxy).min(0.0)).clamp(0.0, asked);
     c.lease += fit;
-    let over = level + amount - plan.burst;
+    let over = level + amount - plan.burst_units;
     // Danger: two nodes that see one overflow both burn it. The later sees that others added about as much
     // during its call, and puts it back. That the bucket is not full tells nothing: it was just drawn from.
     let doubled = amount == 0.0 && call.told > 0.0 && others > call.told / 2.0;
-    let burn = if carried || over < plan.burst * OVERFLOW { 0.0 } else { over };
+    let burn = if carried || over < plan.burst_units * OVERFLOW { 0.0 } else { over };
     (asked - fit, if doubled { -call.told } else { burn })
 }
 
 /// Windows are staggered by customer, so that not all names change at a stroke.
-fn window_of(key: CustomerId, now: Micros) -> u64 {
+fn window_of(key: AccountId, now: Micros) -> u64 {
     (now + mix(key.0) % WINDOW) / WINDOW
 }
 
-fn count_name(key: CustomerId, now: Micros) -> CountName {
-    CountName(mix(mix(key.0) ^ window_of(key, now).wrapping_mul(GOLDEN)) >> 1)
+fn count_name(key: AccountId, now: Micros) -> CounterKey {
+    CounterKey(mix(mix(key.0) ^ window_of(key, now).wrapping_mul(GOLDEN)) >> 1)
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! pinerelay: one edge node. Configuration, runtime, signals and the planned stop.
+//! edge-node: one edge node. Configuration, runtime, signals and the planned stop.
 #![forbid(unsafe_code)]
 
 use std::fmt;
@@ -7,9 +7,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use mountbend::control::Controller;
-use mountbend::interface::{Event, Settings};
-use mountbend::wire::Env;
+use edge_node::decision::DecisionEngine;
+use edge_node::decision::{Event, Settings};
+use edge_node::protocol::simulator::SettingsDocument;
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use tokio::net::{TcpListener, TcpSocket};
@@ -17,14 +17,14 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::time::{sleep, sleep_until, Instant};
 
-use mountbend::net::budget::Budget;
-use mountbend::net::clients::{Clients, Rules};
-use mountbend::net::counter::Counter;
-use mountbend::net::discovery::{Discovery, Pace};
-use mountbend::net::list::List;
-use mountbend::net::node::Node;
-use mountbend::net::servers::Servers;
-use mountbend::net::stop::Timetable;
+use edge_node::net::counter::CounterClient;
+use edge_node::net::descriptor_budget::DescriptorBudget;
+use edge_node::net::discovery::parser::List;
+use edge_node::net::discovery::{Discovery, WatchSchedule};
+use edge_node::net::downstream::{DownstreamServer, Rules};
+use edge_node::net::event_loop::EventLoop;
+use edge_node::net::shutdown_schedule::ShutdownSchedule;
+use edge_node::net::upstream::Upstreams;
 
 /// How often a node that stops looks whether all is answered.
 const LAST_LOOKS: Duration = Duration::from_millis(10);
@@ -41,7 +41,7 @@
     limits: Limits,
     #[serde(default)]
     known: List,
-    settings: Env,
+    settings: SettingsDocument,
 }
 
 /// What a new configuration may change while the node runs; the rest of it waits for the next start.
@@ -93,7 +93,7 @@
     match start() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("pinerelay: {error}");
+            eprintln!("edge-node: {error}");
             ExitCode::FAILURE
         }
     }
@@ -128,29 +128,29 @@
     let mut interrupt = signal(SignalKind::interrupt()).map_err(StartError::System)?;
 
     let allowed = rlimit::increase_nofile_limit(config.limits.sockets as u64).map_err(StartError::System)?;
-    let budget = Budget::new(config.limits.sockets.min(allowed as usize));
+    let budget = DescriptorBudget::new(config.limits.sockets.min(allowed as usize));
     let mut env = config.settings;
     let (zones, kinds) = (std::mem::take(&mut env.zones), std::mem::take(&mut env.kinds));
     let (connect_timeout, conn_idle) = (env.bounds.connect_timeout, env.bounds.conn_idle);
     let longest = env.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-    let timetable = Timetable::new(Duration::from_micros(longest));
+    let timetable = ShutdownSchedule::new(Duration::from_micros(longest));
     let rules = Rules::new(&env);
     let settings = Settings::from(env);
 
-    let servers = Servers::new(budget.clone(), connect_timeout, conn_idle);
-    let counter = Counter::new(counter.filter(|_| settings.counter.allowed), settings.counter.wait);
-    let pace = Pace::new(seed, settings.nodes, settings.list_on_request);
-    let agent = !settings.list_on_request;
+    let servers = Upstreams::new(budget.clone(), connect_timeout, conn_idle);
+    let counter = CounterClient::new(counter.filter(|_| settings.counter.enabled), settings.counter.timeout);
+    let pace = WatchSchedule::new(seed, settings.node_count, settings.polls_endpoint_list);
+    let agent = !settings.polls_endpoint_list;
     let discovery = Discovery::new(discovery, zones, kinds, pace);
-    let try_limit = settings.limits.try_limit;
-    let controller = Controller::new(seed, settings);
-    let node = Node::new(controller, try_limit, servers, counter.clone(), discovery.clone());
+    let try_limit = settings.limits.max_attempts;
+    let controller = DecisionEngine::new(seed, settings);
+    let node = EventLoop::new(controller, try_limit, servers, counter.clone(), discovery.clone());
     let listener = listen(at).map_err(|e| StartError::Listen(at, e))?;
-    eprintln!("pinerelay: listening on {}", listener.local_addr().map_err(StartError::System)?);
+    eprintln!("edge-node: listening on {}", listener.local_addr().map_err(StartError::System)?);
     discovery.start(&node, config.known);
     counter.start(&node);
     tokio::task::spawn_local(reload(hangup, path, node.clone(), discovery.clone(), counter.clone()));
-    let clients = Clients::new(node.clone(), rules, budget.clone());
+    let clients = DownstreamServer::new(node.clone(), rules, budget.clone());
     // Where all nodes ask one discovery, their first calls are spread, and nobody waits for them.
     let told = async move {
         if agent {
@@ -166,7 +166,7 @@
     clients.close_idle();
     sleep_until(begun + timetable.deaf).await;
     clients.close_listener();
-    node.event(Event::Stopping);
+    node.event(Event::ShutdownStarted);
     clients.close_idle();
     let over = || accepting.is_finished() && !node.waited_for() && budget.clients() == 0 && counter.settled();
     while !over() && Instant::now() < begun + timetable.fail {
@@ -184,9 +184,9 @@
 async fn reload(
     mut hangup: Signal,
     path: String,
-    node: Rc<Node>,
+    node: Rc<EventLoop>,
     discovery: Rc<Discovery>,
-    counter: Rc<Counter>,
+    counter: Rc<CounterClient>,
 ) {
     while hangup.recv().await.is_some() {
         let peers = read::<Peers>(&path).and_then(|peers| {
@@ -198,7 +198,7 @@
                 discovery.move_to(&node, at);
                 counter.move_to(&node, counts);
             }
-            Err(error) => eprintln!("pinerelay: the old configuration stays: {error}"),
+            Err(error) => eprintln!("edge-node: the old configuration stays: {error}"),
         }
     }
 }
--- a/src/net/counter.rs
+++ b/src/net/counter/mod.rs
@@ -6,14 +6,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::interface::{CountName, Event, Micros, Outcome};
+use crate::decision::{CounterKey, Event, Micros, Outcome};
 use bytes::{Buf, BytesMut};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant};
 
-use super::node::Node;
+use crate::net::event_loop::EventLoop;
 
 /// Connections: a slow part of the counter holds up only the names that share one with its own.
 const LINES: u64 = 4;
@@ -32,7 +32,7 @@
 const AMOUNT_MOST: f64 = 1e9;
 
 struct Call {
-    name: CountName,
+    name: CounterKey,
     amount: f64,
     keep_ms: u64,
     made: Instant,
@@ -47,7 +47,7 @@
 }
 
 /// The counter as this node sees it.
-pub struct Counter {
+pub struct CounterClient {
     address: Cell<Option<SocketAddr>>,
     wait: Duration,
     lines: RefCell<Vec<Rc<Line>>>,
@@ -57,7 +57,7 @@
 
 /// A call that has been put on a connection.
 struct Asked {
-    name: CountName,
+    name: CounterKey,
     made: Instant,
     /// Where its last byte stands among all bytes for this connection.
     end: u64,
@@ -65,10 +65,10 @@
     told: bool,
 }
 
-impl Counter {
+impl CounterClient {
     /// The counter at this address, if the site has one; a call without an answer by `wait` has timed out.
     pub fn new(address: Option<SocketAddr>, wait: Micros) -> Rc<Self> {
-        Rc::new(Counter {
+        Rc::new(CounterClient {
             address: Cell::new(address),
             wait: Duration::from_micros(wait.max(1)),
             lines: RefCell::new(new_lines()),
@@ -77,10 +77,14 @@
     }
 
     /// Makes a call; its outcome comes as an event.
-    pub fn add(&self, node: &Rc<Node>, name: CountName, amount: f64, keep_for: Micros) {
+    pub fn add(&self, node: &Rc<EventLoop>, name: CounterKey, amount: f64, keep_for: Micros) {
         let line = self.lines.borrow()[(name.0 % LINES) as usize].clone();
         if self.address.get().is_none() || !amount.is_finite() || line.queue.borrow().len() >= QUEUE_MOST {
-            return node.event(Event::Counted { name, outcome: Outcome::ConnectFailed, total: 0.0 });
+            return node.event(Event::CounterReplied {
+                key: name,
+                outcome: Outcome::ConnectFailed,
+                total: 0.0,
+            });
         }
         let amount = amount.clamp(-AMOUNT_MOST, AMOUNT_MOST);
         let keep_ms = (keep_for / 1000).clamp(1, KEEP_MOST_MS);
@@ -96,7 +100,7 @@
 
     /// Makes further calls at this address. Calls under way on the old one end there; what waits for a
     /// connection goes along.
-    pub fn move_to(&self, node: &Rc<Node>, address: Option<SocketAddr>) {
+    pub fn move_to(&self, node: &Rc<EventLoop>, address: Option<SocketAddr>) {
         if self.address.replace(address) == address {
             return;
         }
@@ -117,7 +121,7 @@
     }
 
     /// Serves the calls from now on.
-    pub fn start(&self, node: &Rc<Node>) {
+    pub fn start(&self, node: &Rc<EventLoop>) {
         let Some(address) = self.address.get() else { return };
         for line in self.lines.borrow().iter() {
             let (line, wait) = (line.clone(), self.wait);
@@ -146,19 +150,19 @@
 
 /// Tells the node how calls ended.
 struct Teller {
-    node: Rc<Node>,
+    node: Rc<EventLoop>,
     open: Rc<Cell<usize>>,
 }
 
 impl Teller {
-    fn tell(&self, name: CountName, outcome: Outcome, total: f64) {
+    fn tell(&self, name: CounterKey, outcome: Outcome, total: f64) {
         self.open.set(self.open.get() - 1);
-        self.node.event(Event::Counted { name, outcome, total });
+        self.node.event(Event::CounterReplied { key: name, outcome, total });
     }
 
     /// Of a call that has been told as timed out.
-    fn tell_late(&self, name: CountName, outcome: Outcome, total: f64) {
-        self.node.event(Event::CountedLate { name, outcome, total });
+    fn tell_late(&self, name: CounterKey, outcome: Outcome, total: f64) {
+        self.node.event(Event::LateCounterReply { key: name, outcome, total });
     }
 }
 
@@ -220,7 +224,7 @@
                             let Some(call) = asked.pop_front() else { break 'open };
                             let (outcome, total) = match reply {
                                 Reply::Total(total) => (Outcome::Ok, total),
-                                Reply::Busy => (Outcome::Full, 0.0),
+                                Reply::Busy => (Outcome::Rejected, 0.0),
                             };
                             // Danger: a late answer belongs to a call that has been told as timed out.
                             if call.told {
--- a/src/net/budget.rs
+++ b/src/net/descriptor_budget.rs
@@ -17,7 +17,7 @@
 const CLOSE_PAUSE: Duration = Duration::from_millis(20);
 
 /// How many connections may be open, and are.
-pub struct Budget {
+pub struct DescriptorBudget {
     most: usize,
     for_clients: usize,
     used: Cell<usize>,
@@ -27,23 +27,23 @@
     /// Clients' connections so new that their first request may still lie unread.
     fresh: Cell<usize>,
     /// Clients' connections that no request is open on; those that have never sent one come first.
-    idle: RefCell<BTreeMap<Ticket, Rc<Notify>>>,
+    idle: RefCell<BTreeMap<IdleRegistration, Rc<Notify>>>,
 }
 
 /// A connection's place among the idle ones: whether it has ever sent a request, and its turn.
-pub type Ticket = (bool, u64);
+pub type IdleRegistration = (bool, u64);
 
 /// One open connection's place in the budget.
-pub struct Slot {
-    budget: Rc<Budget>,
+pub struct DescriptorPermit {
+    budget: Rc<DescriptorBudget>,
     client: bool,
 }
 
-impl Budget {
+impl DescriptorBudget {
     /// A budget for a process that may hold `descriptors`.
     pub fn new(descriptors: usize) -> Rc<Self> {
         let most = descriptors.saturating_sub(KEPT_BACK).max(4);
-        Rc::new(Budget {
+        Rc::new(DescriptorBudget {
             most,
             for_clients: ((most as f64 * CLIENT_SHARE) as usize).max(2),
             used: Cell::new(0),
@@ -56,29 +56,29 @@
     }
 
     /// A slot for a client's connection, if one is free.
-    pub fn for_client(self: &Rc<Self>) -> Option<Slot> {
+    pub fn for_client(self: &Rc<Self>) -> Option<DescriptorPermit> {
         (self.clients.get() < self.for_clients).then(|| self.take(true)).flatten()
     }
 
     /// A slot for a connection to an app server, if one is free.
-    pub fn for_server(self: &Rc<Self>) -> Option<Slot> {
+    pub fn for_server(self: &Rc<Self>) -> Option<DescriptorPermit> {
         self.take(false)
     }
 
     /// A slot for a client's connection beyond all bounds, out of what is kept back: for what the machine has
     /// accepted when the listener closes, which nobody else will answer.
-    pub fn beyond(self: &Rc<Self>) -> Slot {
+    pub fn beyond(self: &Rc<Self>) -> DescriptorPermit {
         self.give(true)
     }
 
-    fn take(self: &Rc<Self>, client: bool) -> Option<Slot> {
+    fn take(self: &Rc<Self>, client: bool) -> Option<DescriptorPermit> {
         (self.used.get() < self.most).then(|| self.give(client))
     }
 
-    fn give(self: &Rc<Self>, client: bool) -> Slot {
+    fn give(self: &Rc<Self>, client: bool) -> DescriptorPermit {
         self.used.set(self.used.get() + 1);
         self.clients.set(self.clients.get() + usize::from(client));
-        Slot { budget: self.clone(), client }
+        DescriptorPermit { budget: self.clone(), client }
     }
 
     /// Whether the whole is used up, and not just the clients' part.
@@ -89,7 +89,11 @@
     /// Waits for a slot, closing one connection after the other to free it. Danger: waiting for freed slots
     /// alone, new clients starve while those with slots stand idle; and what is told to close takes a moment,
     /// in which nothing else must be closed in its stead.
-    pub async fn room(&self, take: impl Fn() -> Option<Slot>, close_one: impl Fn() -> bool) -> Slot {
+    pub async fn room(
+        &self,
+        take: impl Fn() -> Option<DescriptorPermit>,
+        close_one: impl Fn() -> bool,
+    ) -> DescriptorPermit {
         loop {
             let eased = self.eased.notified();
             if let Some(slot) = take() {
@@ -120,7 +124,7 @@
     }
 
     /// A client's connection stands idle; it may be told to close. The ticket takes that back.
-    pub fn idle(&self, close: Rc<Notify>, used: bool) -> Ticket {
+    pub fn idle(&self, close: Rc<Notify>, used: bool) -> IdleRegistration {
         let ticket = (used, self.tickets.get());
         self.tickets.set(ticket.1 + 1);
         self.idle.borrow_mut().insert(ticket, close);
@@ -129,7 +133,7 @@
     }
 
     /// The connection with this ticket is in use, or gone.
-    pub fn busy(&self, ticket: Ticket) {
+    pub fn busy(&self, ticket: IdleRegistration) {
         self.idle.borrow_mut().remove(&ticket);
     }
 
@@ -164,7 +168,7 @@
     }
 }
 
-impl Drop for Slot {
+impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         let b = &self.budget;
         b.used.set(b.used.get() - 1);
--- a/src/net/intake.rs
+++ b/src/net/discovery/apply.rs
@@ -4,13 +4,13 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use crate::interface::{Event, ListKind, Member, ServerId};
+use crate::decision::{EndpointEntry, EndpointId, EndpointUpdateKind, Event};
 use tokio::sync::{watch, Mutex};
 use tokio::task::{spawn_blocking, spawn_local, yield_now, JoinError};
 
-use super::endpoints::{Endpoints, Places, Renewed};
-use super::list::{Faults, List};
-use super::node::Node;
+use crate::net::discovery::endpoints::{Endpoints, Places, Renewed};
+use crate::net::discovery::parser::{Faults, List};
+use crate::net::event_loop::EventLoop;
 
 /// Texts up to this long are taken in on the spot. Danger: requests wait meanwhile, and a list of 46,000 app
 /// servers takes tens of milliseconds; longer ones are made ready on a thread of their own.
@@ -56,13 +56,13 @@
 /// What a long list comes to, worked out beside the requests.
 struct Update {
     endpoints: Endpoints,
-    stale: Vec<ServerId>,
+    stale: Vec<EndpointId>,
     faults: Faults,
-    parts: Vec<Vec<Member>>,
+    parts: Vec<Vec<EndpointEntry>>,
 }
 
 impl Update {
-    fn new(known: &Endpoints, list: &List, kind: ListKind, places: &Places) -> Self {
+    fn new(known: &Endpoints, list: &List, kind: EndpointUpdateKind, places: &Places) -> Self {
         let Renewed { endpoints, stale, faults, .. } = made_ready(known, list, kind, places);
         let parts = parts(&endpoints.delta(known));
         Update { endpoints, stale, faults, parts }
@@ -70,8 +70,8 @@
 }
 
 /// The parts in which the decisions are told of a delta.
-pub fn parts(delta: &[Member]) -> Vec<Vec<Member>> {
-    delta.chunks(PART).map(<[Member]>::to_vec).collect()
+pub fn parts(delta: &[EndpointEntry]) -> Vec<Vec<EndpointEntry>> {
+    delta.chunks(PART).map(<[EndpointEntry]>::to_vec).collect()
 }
 
 /// Takes in lists, one at a time, and knows the version of what has been taken in.
@@ -152,9 +152,9 @@
     /// If the thread beside the requests fails.
     pub async fn take_in(
         self: &Rc<Self>,
-        node: &Rc<Node>,
+        node: &Rc<EventLoop>,
         told: Told,
-        kind: ListKind,
+        kind: EndpointUpdateKind,
     ) -> Result<bool, JoinError> {
         let came = self.moment();
         if told.long {
@@ -174,9 +174,9 @@
 
     async fn take_in_parts(
         self: Rc<Self>,
-        node: Rc<Node>,
+        node: Rc<EventLoop>,
         list: List,
-        kind: ListKind,
+        kind: EndpointUpdateKind,
         came: Moment,
     ) -> Result<bool, JoinError> {
         let _turn = self.turn.lock().await;
@@ -203,11 +203,11 @@
     }
 
     /// Puts an update in the place of what was known, and tells the decisions of it in parts.
-    async fn tell(&self, node: &Rc<Node>, update: Update, epoch: u64, version: u64) {
+    async fn tell(&self, node: &Rc<EventLoop>, update: Update, epoch: u64, version: u64) {
         self.telling.send_replace(true);
         node.servers.replace(update.endpoints, &update.stale);
         for entries in update.parts {
-            node.event(Event::Members { kind: ListKind::Changes, entries });
+            node.event(Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, entries });
             // Requests that are ready go first, and what sockets have to say is read.
             yield_now().await;
         }
@@ -219,9 +219,9 @@
     }
 
     /// Takes in a list on the spot.
-    pub fn take(&self, node: &Rc<Node>, list: &List, kind: ListKind) {
+    pub fn take(&self, node: &Rc<EventLoop>, list: &List, kind: EndpointUpdateKind) {
         list.faults().lines().for_each(log);
-        let entries = if kind == ListKind::Changes {
+        let entries = if kind == EndpointUpdateKind::Delta {
             let mut faults = Faults::default();
             let entries = node.servers.change(|endpoints, stale| {
                 let entries = list.entries().iter();
@@ -240,8 +240,8 @@
             made.members
         };
         self.end(Some(list.version));
-        node.event(Event::Members { kind, entries });
-        if kind != ListKind::Stale {
+        node.event(Event::EndpointsUpdated { kind, entries });
+        if kind != EndpointUpdateKind::StaleSnapshot {
             self.hear();
         }
     }
@@ -253,15 +253,15 @@
     }
 }
 
-fn made_ready(known: &Endpoints, list: &List, kind: ListKind, places: &Places) -> Renewed {
+fn made_ready(known: &Endpoints, list: &List, kind: EndpointUpdateKind, places: &Places) -> Renewed {
     match kind {
-        ListKind::Changes => known.changed(list.entries(), places),
+        EndpointUpdateKind::Delta => known.changed(list.entries(), places),
         _ => known.renewed(list.entries(), places),
     }
 }
 
 fn log(fault: String) {
-    eprintln!("pinerelay: discovery: {fault}");
+    eprintln!("edge-node: discovery: {fault}");
 }
 
 /// Drops what may be long. Danger: to free tens of thousands of entries holds up requests, too.
--- a/src/net/endpoints.rs
+++ b/src/net/discovery/endpoints.rs
@@ -4,12 +4,12 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use crate::interface::{Member, MemberState, ServerId};
+use crate::decision::{EndpointEntry, EndpointId, EndpointState};
 
-use super::list::{Entry, Faults};
+use crate::net::discovery::parser::{Entry, Faults};
 
 /// How a name gives a number.
-pub type Numbering = fn(&str) -> ServerId;
+pub type Numbering = fn(&str) -> EndpointId;
 
 /// What the list tells of an app server beside its name and address: all that the decisions know of it.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -25,13 +25,21 @@
     /// Its cell.
     pub cell: u32,
     /// Its state.
-    pub state: MemberState,
+    pub state: EndpointState,
 }
 
 impl Attributes {
-    fn member(&self, server: ServerId) -> Member {
+    fn member(&self, server: EndpointId) -> EndpointEntry {
         let Attributes { since_ms, weight, zone, kind, cell, state } = *self;
-        Member { server, zone, kind, cell, state, weight, started: since_ms.saturating_mul(1000) }
+        EndpointEntry {
+            id: server,
+            zone,
+            machine_kind: kind,
+            cell,
+            state,
+            weight,
+            started_at: since_ms.saturating_mul(1000),
+        }
     }
 }
 
@@ -49,7 +57,7 @@
 impl Endpoint {
     /// Whether it wants new work.
     pub fn up(&self) -> bool {
-        self.attributes.state == MemberState::In
+        self.attributes.state == EndpointState::Active
     }
 }
 
@@ -117,9 +125,9 @@
     /// What is known from now on.
     pub endpoints: Endpoints,
     /// The list's entries, one for each name, by number.
-    pub members: Vec<Member>,
+    pub members: Vec<EndpointEntry>,
     /// App servers whose connections may lead elsewhere now, though it does not show in what is known.
-    pub stale: Vec<ServerId>,
+    pub stale: Vec<EndpointId>,
     /// How it differs from what was known; nothing is told of a list of changes.
     pub difference: Difference,
     /// What was wrong with its entries.
@@ -130,10 +138,10 @@
 #[derive(Debug, Clone)]
 pub struct Endpoints {
     numbering: Numbering,
-    all: BTreeMap<ServerId, Endpoint>,
-    by_address: BTreeSet<(SocketAddr, ServerId)>,
+    all: BTreeMap<EndpointId, Endpoint>,
+    by_address: BTreeSet<(SocketAddr, EndpointId)>,
     /// Names whose own number was another's when they came.
-    displaced: BTreeMap<Arc<str>, ServerId>,
+    displaced: BTreeMap<Arc<str>, EndpointId>,
 }
 
 impl Default for Endpoints {
@@ -159,46 +167,46 @@
     }
 
     /// The app server of this number.
-    pub fn get(&self, server: ServerId) -> Option<&Endpoint> {
+    pub fn get(&self, server: EndpointId) -> Option<&Endpoint> {
         self.all.get(&server)
     }
 
     /// Those that want new work, in the order of their numbers.
-    pub fn up(&self) -> impl Iterator<Item = ServerId> + '_ {
+    pub fn up(&self) -> impl Iterator<Item = EndpointId> + '_ {
         self.all.iter().filter(|(_, e)| e.up()).map(|(&server, _)| server)
     }
 
     /// The number of the app server of this name, if it is known.
-    pub fn find(&self, name: &str) -> Option<ServerId> {
+    pub fn find(&self, name: &str) -> Option<EndpointId> {
         self.find_at(name, (self.numbering)(name))
     }
 
-    fn find_at(&self, name: &str, own: ServerId) -> Option<ServerId> {
+    fn find_at(&self, name: &str, own: EndpointId) -> Option<EndpointId> {
         let is_it = |e: &Endpoint| *e.name == *name;
         self.displaced.get(name).copied().or_else(|| self.all.get(&own).is_some_and(is_it).then_some(own))
     }
 
     /// Whether another app server was told to be where this one is.
-    pub fn shares(&self, server: ServerId, address: SocketAddr) -> bool {
+    pub fn shares(&self, server: EndpointId, address: SocketAddr) -> bool {
         self.at(address).any(|other| other != server)
     }
 
-    fn at(&self, address: SocketAddr) -> impl Iterator<Item = ServerId> + '_ {
-        let range = (address, ServerId(0))..=(address, ServerId(u64::MAX));
+    fn at(&self, address: SocketAddr) -> impl Iterator<Item = EndpointId> + '_ {
+        let range = (address, EndpointId(0))..=(address, EndpointId(u64::MAX));
         self.by_address.range(range).map(|&(_, server)| server)
     }
 
     /// Its own number, or the next that is free both here and in `before`. Danger: two app servers under one
     /// number would share their state, and one that takes the number of another that has gone would inherit it.
-    fn free(&self, own: ServerId, before: &Endpoints) -> ServerId {
+    fn free(&self, own: EndpointId, before: &Endpoints) -> EndpointId {
         let mut server = own;
         while self.all.contains_key(&server) || before.all.contains_key(&server) {
-            server = ServerId(server.0.wrapping_add(1));
+            server = EndpointId(server.0.wrapping_add(1));
         }
         server
     }
 
-    fn insert(&mut self, server: ServerId, own: ServerId, endpoint: Endpoint) {
+    fn insert(&mut self, server: EndpointId, own: EndpointId, endpoint: Endpoint) {
         if server != own {
             self.displaced.insert(endpoint.name.clone(), server);
         }
@@ -209,7 +217,7 @@
         self.by_address.insert((address, server));
     }
 
-    fn remove(&mut self, server: ServerId) {
+    fn remove(&mut self, server: EndpointId) {
         if let Some(old) = self.all.remove(&server) {
             self.by_address.remove(&(old.address, server));
             self.displaced.remove(&old.name);
@@ -222,14 +230,14 @@
         &mut self,
         entry: &Entry,
         places: &Places,
-        stale: &mut Vec<ServerId>,
+        stale: &mut Vec<EndpointId>,
         faults: &mut Faults,
-    ) -> Option<Member> {
+    ) -> Option<EndpointEntry> {
         let own = (self.numbering)(&entry.name);
         let known = self.find_at(&entry.name, own);
         let old = known.and_then(|server| self.all.get(&server));
         let attributes = places.attributes(entry);
-        if entry.state == MemberState::Out {
+        if entry.state == EndpointState::Removed {
             let server = known?;
             self.remove(server);
             stale.push(server);
@@ -284,7 +292,7 @@
             let old = known.and_then(|server| self.all.get(&server));
             let server = known.unwrap_or_else(|| new.free(own, self));
             let attributes = places.attributes(entry);
-            if entry.state == MemberState::Out {
+            if entry.state == EndpointState::Removed {
                 members.extend(known.map(|_| attributes.member(server)));
                 continue;
             }
@@ -303,7 +311,7 @@
             new.insert(server, own, endpoint);
         }
         difference.gone = self.len() - difference.same - difference.changed;
-        members.sort_by_key(|m| m.server);
+        members.sort_by_key(|m| m.id);
         // Built anew in order they take half the memory of what was put in one by one.
         new.all = new.all.into_iter().collect();
         new.by_address = new.by_address.into_iter().collect();
@@ -315,7 +323,7 @@
     /// attempts follow the new list at once; both are in the order of ids, and before each stands one that comes into
     /// service, as long as there are any. Danger: told first of all that leave, the decisions would have nowhere to
     /// send to until the others come. So there are never fewer in service than at the start or at the end.
-    pub fn delta(&self, before: &Endpoints) -> Vec<Member> {
+    pub fn delta(&self, before: &Endpoints) -> Vec<EndpointEntry> {
         let (mut coming, mut others) = (Vec::new(), Vec::new());
         for (&server, endpoint) in &self.all {
             let old = before.all.get(&server);
@@ -327,8 +335,10 @@
             kind.push(endpoint.attributes.member(server));
         }
         let gone = before.all.iter().filter(|(server, _)| !self.all.contains_key(server));
-        let out =
-            |(&server, e): (_, &Endpoint)| Member { state: MemberState::Out, ..e.attributes.member(server) };
+        let out = |(&server, e): (_, &Endpoint)| EndpointEntry {
+            state: EndpointState::Removed,
+            ..e.attributes.member(server)
+        };
         others.extend(gone.map(out));
         let mut delta = Vec::with_capacity(coming.len() + others.len());
         let mut coming = coming.into_iter();
@@ -344,7 +354,7 @@
 /// An app server's number, from its name alone so that all nodes agree on it and on the order of all: FNV-1a of
 /// the name in the high half; in the low half Jenkins's one-at-a-time, which has nothing in common with it.
 /// Danger: with the high half alone two of 46,000 names share a number one time in four.
-pub fn number(name: &str) -> ServerId {
+pub fn number(name: &str) -> EndpointId {
     let fnv = |hash: u32, byte: u8| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193);
     let jenkins = |hash: u32, byte: u8| {
         let hash = hash.wrapping_add(byte.into());
@@ -356,5 +366,5 @@
     let low = low.wrapping_add(low << 3);
     let low = low ^ (low >> 11);
     let low = low.wrapping_add(low << 15);
-    ServerId(u64::from(high) << 32 | u64::from(low))
+    EndpointId(u64::from(high) << 32 | u64::from(low))
 }
--- a/src/net/discovery.rs
+++ b/src/net/discovery/mod.rs
@@ -1,4 +1,9 @@
-//! Discovery: a watch that never ends, and single fetches. What they bring is taken in by `intake`.
+//! Discovery: a watch that never ends, and single fetches. What they bring is taken in by `apply`.
+
+pub mod apply;
+pub mod backoff;
+pub mod endpoints;
+pub mod parser;
 
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -8,7 +13,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::interface::{Event, ListKind};
+use crate::decision::{EndpointUpdateKind, Event};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Incoming};
@@ -17,12 +22,12 @@
 use tokio::task::AbortHandle;
 use tokio::time::{timeout, timeout_at, Instant};
 
-use super::backoff::Backoff;
-use super::endpoints::Places;
-use super::http::Connection;
-use super::intake::{Intake, Told};
-use super::list::List;
-use super::node::Node;
+use crate::net::discovery::apply::{Intake, Told};
+use crate::net::discovery::backoff::Backoff;
+use crate::net::discovery::endpoints::Places;
+use crate::net::discovery::parser::List;
+use crate::net::event_loop::EventLoop;
+use crate::net::http_client::Connection;
 
 /// How long a watch may wait, and how much later its answer counts as lost. Danger: a change counts as told
 /// 6 s after it at the latest, arrived or not, so a watch on a dead connection is given up sooner.
@@ -96,13 +101,13 @@
     address: Cell<SocketAddr>,
     intake: Rc<Intake>,
     watcher: RefCell<Option<AbortHandle>>,
-    pace: RefCell<Pace>,
+    pace: RefCell<WatchSchedule>,
 }
 
 impl Discovery {
     /// Discovery at this address, called at this pace. Zones and kinds are told by name and numbered as in the
     /// settings.
-    pub fn new(address: SocketAddr, zones: Vec<String>, kinds: Vec<String>, pace: Pace) -> Rc<Self> {
+    pub fn new(address: SocketAddr, zones: Vec<String>, kinds: Vec<String>, pace: WatchSchedule) -> Rc<Self> {
         Rc::new(Discovery {
             pace: RefCell::new(pace),
             address: Cell::new(address),
@@ -113,23 +118,23 @@
 
     /// Takes in the list that the node had before its start, and watches from there on for ever. With a list to
     /// go by, the first call is staggered.
-    pub fn start(self: &Rc<Self>, node: &Rc<Node>, known: List) {
+    pub fn start(self: &Rc<Self>, node: &Rc<EventLoop>, known: List) {
         let stagger = if known.is_empty() { Duration::ZERO } else { self.pace.borrow_mut().first_call() };
         // On the spot, however long: nobody waits yet.
-        self.intake.take(node, &known, ListKind::Stale);
+        self.intake.take(node, &known, EndpointUpdateKind::StaleSnapshot);
         self.spawn(node, stagger);
     }
 
     /// Goes on with the agent at this address. Danger: its versions have nothing to do with the old one's, so
     /// it is asked for the whole list first, and what the old one still says is dropped with its watch.
-    pub fn move_to(self: &Rc<Self>, node: &Rc<Node>, address: SocketAddr) {
+    pub fn move_to(self: &Rc<Self>, node: &Rc<EventLoop>, address: SocketAddr) {
         if self.address.replace(address) != address {
             self.intake.moved();
             self.spawn(node, Duration::ZERO);
         }
     }
 
-    fn spawn(self: &Rc<Self>, node: &Rc<Node>, after: Duration) {
+    fn spawn(self: &Rc<Self>, node: &Rc<EventLoop>, after: Duration) {
         let (discovery, node) = (self.clone(), node.clone());
         let task = tokio::task::spawn_local(async move {
             tokio::time::sleep(after).await;
@@ -140,7 +145,7 @@
         }
     }
 
-    async fn watch(&self, node: &Rc<Node>) {
+    async fn watch(&self, node: &Rc<EventLoop>) {
         let (mut connection, mut failing) = (None, false);
         loop {
             let (path, wait) = match self.intake.version() {
@@ -163,7 +168,7 @@
                 }
                 Err(failure) => {
                     if !std::mem::replace(&mut failing, true) {
-                        eprintln!("pinerelay: discovery: {failure}; trying on");
+                        eprintln!("edge-node: discovery: {failure}; trying on");
                     }
                     connection = None;
                     let pause =
@@ -175,13 +180,17 @@
     }
 
     /// Takes in what a watch was told, if it is news.
-    async fn heed(&self, node: &Rc<Node>, told: Told) -> Result<bool, Failure> {
+    async fn heed(&self, node: &Rc<EventLoop>, told: Told) -> Result<bool, Failure> {
         let list = &told.list;
         let (version, known) = (list.version, self.intake.version());
         let nothing = list.is_empty() && !list.snapshot && known.is_some();
-        let kind = if list.snapshot || known.is_none() { ListKind::Whole } else { ListKind::Changes };
+        let kind = if list.snapshot || known.is_none() {
+            EndpointUpdateKind::Snapshot
+        } else {
+            EndpointUpdateKind::Delta
+        };
         // Danger: a fetch may have brought a newer list meanwhile; older changes would undo it.
-        let old = kind == ListKind::Changes && Some(version) < known;
+        let old = kind == EndpointUpdateKind::Delta && Some(version) < known;
         if !nothing && !old && self.take_in(node, told, kind).await? {
             return Ok(true);
         }
@@ -190,12 +199,17 @@
         Ok(false)
     }
 
-    async fn take_in(&self, node: &Rc<Node>, told: Told, kind: ListKind) -> Result<bool, Failure> {
+    async fn take_in(
+        &self,
+        node: &Rc<EventLoop>,
+        told: Told,
+        kind: EndpointUpdateKind,
+    ) -> Result<bool, Failure> {
         self.intake.take_in(node, told, kind).await.map_err(|_| Failure::Broken)
     }
 
     /// Fetches the whole list once.
-    pub fn fetch(self: &Rc<Self>, node: &Rc<Node>) {
+    pub fn fetch(self: &Rc<Self>, node: &Rc<EventLoop>) {
         let (discovery, node, epoch) = (self.clone(), node.clone(), self.intake.epoch());
         tokio::task::spawn_local(async move {
             let answer = discovery.get(&mut None, "/discovery/hosts", FETCH_WAIT).await;
@@ -205,14 +219,17 @@
                 Ok(_) if moved() => return,
                 // The watch may have brought something newer meanwhile.
                 Ok(told) if Some(told.list.version) >= discovery.intake.version() => {
-                    discovery.take_in(&node, told, ListKind::Whole).await.err()
+                    discovery.take_in(&node, told, EndpointUpdateKind::Snapshot).await.err()
                 }
                 Ok(_) => None,
                 Err(failure) => Some(failure),
             };
             if let Some(failure) = failure.filter(|_| !moved()) {
-                eprintln!("pinerelay: discovery: {failure}; the watch goes on");
-                node.event(Event::Members { kind: ListKind::Lost, entries: Vec::new() });
+                eprintln!("edge-node: discovery: {failure}; the watch goes on");
+                node.event(Event::EndpointsUpdated {
+                    kind: EndpointUpdateKind::WatchLost,
+                    entries: Vec::new(),
+                });
             }
         });
     }
@@ -320,23 +337,26 @@
 }
 
 /// The pace of one node's calls, such that all nodes together leave discovery room and no list grows too old.
-pub struct Pace {
+pub struct WatchSchedule {
     backoff: Backoff,
     /// How late the first call may be that a node makes with a list to go by.
     spread: Duration,
 }
 
-impl Pace {
+impl WatchSchedule {
     /// For one of so many nodes. `asked`: all nodes call one discovery, and none holds the list for them.
     /// Danger: an agent on the node's own machine counts as the node itself, so what it holds counts as told
     /// at once; each moment without a watch there may break a drain, and sparing it spares nobody.
     pub fn new(seed: u64, nodes: u32, asked: bool) -> Self {
         if !asked {
             let backoff = Backoff::new(seed, AGENT_PAUSE, AGENT_PAUSE_MOST);
-            return Pace { backoff, spread: Duration::ZERO };
+            return WatchSchedule { backoff, spread: Duration::ZERO };
         }
         let first = (SPREAD_EACH * nodes).clamp(PAUSE, TOLD_AFTER);
-        Pace { backoff: Backoff::new(seed, first, first * SPREAD_GROWTH), spread: first.min(FIRST_CALL_MOST) }
+        WatchSchedule {
+            backoff: Backoff::new(seed, first, first * SPREAD_GROWTH),
+            spread: first.min(FIRST_CALL_MOST),
+        }
     }
 
     /// How late the first call of a node is that has a list to go by.
--- a/src/net/list.rs
+++ b/src/net/discovery/parser.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Deserializer};
 use serde_json::value::RawValue;
 
-use crate::interface::MemberState;
+use crate::decision::EndpointState;
 
 /// So many of a list's faults are told one by one, the others by their number. Danger: a list with a fault in each
 /// entry would fill the log.
@@ -74,7 +74,7 @@
     /// Its cell.
     pub group: u32,
     /// Its state; what has an unknown one is draining.
-    pub state: MemberState,
+    pub state: EndpointState,
     /// Its size beside the others', where told; else 1.
     pub weight: f64,
     /// When it last started, in milliseconds of Unix time; 0: long ago.
@@ -182,12 +182,12 @@
 impl Entries {
     fn take(&mut self, written: Written<'_>, labels: &mut Labels) {
         let state = match &*written.status {
-            "up" => MemberState::In,
-            "removed" => MemberState::Out,
-            "draining" => MemberState::Draining,
+            "up" => EndpointState::Active,
+            "removed" => EndpointState::Removed,
+            "draining" => EndpointState::Draining,
             other => {
                 self.faults.add(format_args!("{} is {other:?}, taken as draining", written.name));
-                MemberState::Draining
+                EndpointState::Draining
             }
         };
         self.read.push(Entry {
--- a/src/net/clients.rs
+++ b/src/net/downstream/mod.rs
@@ -1,5 +1,7 @@
 //! The clients' side: the listener, what a request must hold, the answers, and `/up`.
 
+pub mod pipeline;
+
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -13,8 +15,8 @@
 use std::task::{ready, Context, Poll};
 use std::time::Duration;
 
-use crate::interface::{CustomerId, Micros, NewRequest, RequestId};
-use crate::wire::{Env, WireEffect};
+use crate::decision::{AccountId, Micros, NewRequest, RequestId};
+use crate::protocol::simulator::{IdempotencyName, SettingsDocument};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Incoming};
@@ -29,11 +31,11 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::{sleep_until, timeout, timeout_at, Instant};
 
-use super::budget::{Budget, Slot, Ticket};
-use super::http::{whole, BadBody};
-use super::node::{Answer, Node};
-use super::pipeline::Pipeline;
-use super::servers::{Forward, BODY_MOST, DEADLINE, IDEMPOTENCY_KEY, REQUEST_ID};
+use crate::net::descriptor_budget::{DescriptorBudget, DescriptorPermit, IdleRegistration};
+use crate::net::downstream::pipeline::Pipeline;
+use crate::net::event_loop::{Answer, EventLoop};
+use crate::net::http_client::{whole, BadBody};
+use crate::net::upstream::{Forward, BODY_MOST, DEADLINE, IDEMPOTENCY_KEY, REQUEST_ID};
 
 const CLASS: HeaderName = HeaderName::from_static("x-class");
 const PLAN: HeaderName = HeaderName::from_static("x-tariff");
@@ -68,7 +70,7 @@
 
 /// What the settings say of requests.
 pub struct Rules {
-    classes: Vec<(String, WireEffect)>,
+    classes: Vec<(String, IdempotencyName)>,
     plans: Vec<String>,
     nodes: u32,
     largest_units: f64,
@@ -76,7 +78,7 @@
 
 impl Rules {
     /// Reads them off the settings.
-    pub fn new(env: &Env) -> Self {
+    pub fn new(env: &SettingsDocument) -> Self {
         Rules {
             classes: env.classes.iter().map(|c| (c.name.clone(), c.effect)).collect(),
             plans: env.tariffs.iter().map(|p| p.name.clone()).collect(),
@@ -87,10 +89,10 @@
 }
 
 /// The clients' side of a node.
-pub struct Clients {
-    node: Rc<Node>,
+pub struct DownstreamServer {
+    node: Rc<EventLoop>,
     rules: Rules,
-    budget: Rc<Budget>,
+    budget: Rc<DescriptorBudget>,
     /// Each change tells the connections open by then to close as soon as they are idle.
     closing: watch::Sender<u32>,
     /// The listener is to close.
@@ -101,10 +103,10 @@
     opened: Cell<u64>,
 }
 
-impl Clients {
+impl DownstreamServer {
     /// The clients' side of this node.
-    pub fn new(node: Rc<Node>, rules: Rules, budget: Rc<Budget>) -> Rc<Self> {
-        let clients = Rc::new(Clients {
+    pub fn new(node: Rc<EventLoop>, rules: Rules, budget: Rc<DescriptorBudget>) -> Rc<Self> {
+        let clients = Rc::new(DownstreamServer {
             node,
             rules,
             budget,
@@ -155,7 +157,7 @@
                 Ok((stream, _)) => self.open(stream, slot),
                 Err(error) => {
                     drop(slot);
-                    eprintln!("pinerelay: accepting a connection failed: {error}");
+                    eprintln!("edge-node: accepting a connection failed: {error}");
                     self.budget.close_an_idle_client();
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
@@ -178,14 +180,14 @@
         }
     }
 
-    async fn slot(&self) -> Slot {
+    async fn slot(&self) -> DescriptorPermit {
         let close_one = || {
             self.budget.exhausted() && self.node.servers.close_an_idle() || self.budget.close_an_idle_client()
         };
         self.budget.room(|| self.budget.for_client(), close_one).await
     }
 
-    fn open(self: &Rc<Self>, stream: TcpStream, slot: Slot) {
+    fn open(self: &Rc<Self>, stream: TcpStream, slot: DescriptorPermit) {
         // Danger: the runtime takes a new connection for readable, and so for one that is not closed, before it has
         // heard of it. Its client may have left in the backlog, behind bytes that hide it.
         let unheard = || Err::<(), _>(io::Error::from(io::ErrorKind::WouldBlock));
@@ -324,7 +326,7 @@
             return Err(bad("a body has a length or comes in chunks, not both and in no other encoding\n"));
         }
         let new = self.read(&head.method, head.uri.path(), head.uri.query(), &head.headers, now)?;
-        let last_call = self.node.last_call(new.due);
+        let last_call = self.node.last_call(new.deadline);
         if head.method == Method::GET && !body.is_end_stream() {
             return Err(bad("a GET has no body\n"));
         }
@@ -386,9 +388,9 @@
         }
         let keyed = headers.contains_key(IDEMPOTENCY_KEY);
         let fits = match self.rules.classes[class].1 {
-            WireEffect::Safe => *method == Method::GET,
-            WireEffect::Keyed => *method == Method::POST && keyed,
-            WireEffect::Unsafe => *method == Method::POST && !keyed,
+            IdempotencyName::Safe => *method == Method::GET,
+            IdempotencyName::Keyed => *method == Method::POST && keyed,
+            IdempotencyName::Unsafe => *method == Method::POST && !keyed,
         };
         if !fits {
             return Err(bad("method and key are not the class's\n"));
@@ -408,14 +410,14 @@
             text(&WEIGHT).and_then(|v| self.weight(v)).ok_or(bad("no weight\n"))?;
         Ok(NewRequest {
             id: RequestId::from(id),
-            customer: CustomerId(customer),
+            account: AccountId(customer),
             class,
             plan,
             units,
-            first_node,
-            spread,
-            marked_retry: text(&RETRY) == Some("1"),
-            due: now + wait * 1000,
+            first_account_node: first_node,
+            account_node_count: spread,
+            is_retry: text(&RETRY) == Some("1"),
+            deadline: now + wait * 1000,
         })
     }
 
@@ -477,7 +479,7 @@
 
 /// Tells the node that a request's client waits no longer, when dropped; once it is answered that is nothing.
 struct Gone<'a> {
-    node: &'a Rc<Node>,
+    node: &'a Rc<EventLoop>,
     id: &'a RequestId,
 }
 
@@ -489,11 +491,11 @@
 
 /// Whether a connection stands idle.
 struct Idle {
-    budget: Rc<Budget>,
+    budget: Rc<DescriptorBudget>,
     close: Rc<Notify>,
     /// Told to end at once.
     cut: Notify,
-    ticket: Cell<Option<Ticket>>,
+    ticket: Cell<Option<IdleRegistration>>,
     /// So new that its first request may still lie unread.
     fresh: Cell<bool>,
     /// A request has come on it, and is open.
@@ -615,12 +617,12 @@
 
 /// A connection's place on the list of open ones.
 struct Listed {
-    clients: Rc<Clients>,
+    clients: Rc<DownstreamServer>,
     number: u64,
 }
 
 impl Listed {
-    fn new(clients: &Rc<Clients>, idle: &Rc<Idle>) -> Self {
+    fn new(clients: &Rc<DownstreamServer>, idle: &Rc<Idle>) -> Self {
         let number = clients.opened.get();
         clients.opened.set(number + 1);
         clients.open.borrow_mut().insert(number, idle.clone());
--- a/src/net/node.rs
+++ b/src/net/event_loop.rs
@@ -6,16 +6,16 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use crate::control::Controller;
-use crate::interface::*;
+use crate::decision::DecisionEngine;
+use crate::decision::*;
 use bytes::Bytes;
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-use super::counter::Counter;
-use super::discovery::Discovery;
-use super::servers::{Forward, Servers};
+use crate::net::counter::CounterClient;
+use crate::net::discovery::Discovery;
+use crate::net::upstream::{Forward, Upstreams};
 
 /// Attempts are given up this long before the client gives up, so that the answer still reaches it.
 const STOP_BEFORE: Micros = 25_000;
@@ -56,7 +56,7 @@
 }
 
 struct Attempt {
-    server: ServerId,
+    server: EndpointId,
     sent: Micros,
     /// Its task, while the attempt is out.
     task: Option<AbortHandle>,
@@ -74,15 +74,15 @@
 }
 
 /// One edge node.
-pub struct Node {
+pub struct EventLoop {
     /// The node's clock.
     pub clock: Clock,
     /// The app servers.
-    pub servers: Rc<Servers>,
-    counter: Rc<Counter>,
+    pub servers: Rc<Upstreams>,
+    counter: Rc<CounterClient>,
     discovery: Rc<Discovery>,
     try_limit: usize,
-    controller: RefCell<Controller>,
+    controller: RefCell<DecisionEngine>,
     open: RefCell<BTreeMap<RequestId, Open>>,
     events: RefCell<VecDeque<Event>>,
     busy: Cell<bool>,
@@ -94,16 +94,16 @@
 /// A request under an id that is still in work.
 pub struct Duplicate;
 
-impl Node {
+impl EventLoop {
     /// A node that knows nothing yet.
     pub fn new(
-        controller: Controller,
+        controller: DecisionEngine,
         try_limit: u32,
-        servers: Rc<Servers>,
-        counter: Rc<Counter>,
+        servers: Rc<Upstreams>,
+        counter: Rc<CounterClient>,
         discovery: Rc<Discovery>,
     ) -> Rc<Self> {
-        Rc::new(Node {
+        Rc::new(EventLoop {
             clock: Clock::new(),
             servers,
             counter,
@@ -141,7 +141,7 @@
             let waited = self.open.borrow_mut().get_mut(&id).and_then(|o| o.answer.take());
             if let Some(sender) = waited {
                 let _ = sender.send(Answer::Failed);
-                self.event(Event::Gone { id: id.clone() });
+                self.event(Event::ClientDisconnected { request: id.clone() });
                 self.call_back(&id);
             }
         }
@@ -159,8 +159,8 @@
         loop {
             let Some(event) = self.events.borrow_mut().pop_front() else { break };
             let over = match &event {
-                Event::Ended(e) => Some(e.id.clone()),
-                Event::Gone { id } => Some(id.clone()),
+                Event::AttemptEnded(e) => Some(e.request.clone()),
+                Event::ClientDisconnected { request: id } => Some(id.clone()),
                 _ => None,
             };
             self.controller.borrow_mut().handle(self.clock.now(), event, &mut actions);
@@ -176,28 +176,32 @@
 
     fn perform(self: &Rc<Self>, action: Action) {
         match action {
-            Action::Send { id, server, timeout } => self.send(id, server, timeout),
-            Action::Refuse { id, retry_after } => self.finish(&id, Answer::Refused(retry_after)),
-            Action::Fail { id } => self.finish(&id, Answer::Failed),
-            Action::Cancel { id, attempt } => self.end(&id, attempt as usize, Outcome::Cancelled, None),
-            Action::Probe { server } => {
+            Action::StartAttempt { request: id, endpoint: server, timeout } => self.send(id, server, timeout),
+            Action::Reject { request: id, retry_after } => self.finish(&id, Answer::Refused(retry_after)),
+            Action::Fail { request: id } => self.finish(&id, Answer::Failed),
+            Action::CancelAttempt { request: id, attempt_number: attempt } => {
+                self.end(&id, attempt as usize, Outcome::Cancelled, None)
+            }
+            Action::ProbeEndpoint { endpoint: server } => {
                 let node = self.clone();
                 tokio::task::spawn_local(async move {
                     let outcome = node.servers.probe(server).await;
-                    node.event(Event::Probed { server, outcome });
+                    node.event(Event::ProbeCompleted { endpoint: server, outcome });
                 });
             }
-            Action::Count { name, amount, keep_for } => self.counter.add(self, name, amount, keep_for),
-            Action::Timer { id, after } => {
+            Action::IncrementCounter { key: name, amount, keep_for } => {
+                self.counter.add(self, name, amount, keep_for)
+            }
+            Action::SetTimer { id, after } => {
                 let node = self.clone();
                 tokio::task::spawn_local(async move {
                     tokio::time::sleep(Duration::from_micros(after)).await;
-                    node.event(Event::Timer { id });
+                    node.event(Event::TimerFired { id });
                 });
             }
-            Action::FetchList => self.discovery.fetch(self),
+            Action::FetchEndpoints => self.discovery.fetch(self),
             // The list is watched from the start on.
-            Action::WatchList => {}
+            Action::WatchEndpoints => {}
         }
     }
 
@@ -217,14 +221,14 @@
         let open = Open {
             answer: Some(sender),
             forward: Rc::new(forward),
-            stop: request.due.saturating_sub(STOP_BEFORE),
+            stop: request.deadline.saturating_sub(STOP_BEFORE),
             attempts: Vec::new(),
         };
         match self.open.borrow_mut().entry(request.id.clone()) {
             std::collections::btree_map::Entry::Occupied(_) => return Err(Duplicate),
             std::collections::btree_map::Entry::Vacant(place) => place.insert(open),
         };
-        self.event(Event::Request(request));
+        self.event(Event::RequestReceived(request));
         Ok(receiver)
     }
 
@@ -237,7 +241,7 @@
     pub fn gone(self: &Rc<Self>, id: &RequestId) {
         let waited = self.open.borrow_mut().get_mut(id).and_then(|o| o.answer.take());
         if waited.is_some() {
-            self.event(Event::Gone { id: id.clone() });
+            self.event(Event::ClientDisconnected { request: id.clone() });
             self.call_back(id);
         }
     }
@@ -250,7 +254,7 @@
         let unsent = attempts.filter(|(_, a)| a.task.is_some() && !a.begun.get()).map(|(number, _)| number);
         let unsent: Vec<_> = unsent.collect();
         drop(open);
-        unsent.into_iter().for_each(|number| self.end(id, number, Outcome::Ignored, None));
+        unsent.into_iter().for_each(|number| self.end(id, number, Outcome::NotSent, None));
     }
 
     fn finish(&self, id: &RequestId, answer: Answer) {
@@ -269,11 +273,11 @@
         }
     }
 
-    fn send(self: &Rc<Self>, id: RequestId, server: ServerId, timeout: Micros) {
+    fn send(self: &Rc<Self>, id: RequestId, server: EndpointId, timeout: Micros) {
         let now = self.clock.now();
         let mut requests = self.open.borrow_mut();
         let Some(open) = requests.get_mut(&id) else {
-            eprintln!("pinerelay: an attempt for a request that is over");
+            eprintln!("edge-node: an attempt for a request that is over");
             return;
         };
         let number = open.attempts.len();
@@ -282,15 +286,15 @@
             open.attempts.push(attempt);
             let finished = open.answer.is_none();
             drop(requests);
-            let outcome = Outcome::Ignored;
+            let outcome = Outcome::NotSent;
             let attempt = number as u32;
-            return self.event(Event::Ended(Ended {
-                id,
-                attempt,
-                server,
+            return self.event(Event::AttemptEnded(EndedAttempt {
+                request: id,
+                attempt_number: attempt,
+                endpoint: server,
                 outcome,
-                spent: 0,
-                finished,
+                elapsed: 0,
+                request_completed: finished,
                 final_units: None,
             }));
         }
@@ -311,7 +315,7 @@
         let Some(open) = requests.get_mut(id) else { return };
         let Some(attempt) = open.attempts.get_mut(number) else { return };
         let Some(task) = attempt.task.take() else { return };
-        if matches!(outcome, Outcome::Cancelled | Outcome::Ignored) {
+        if matches!(outcome, Outcome::Cancelled | Outcome::NotSent) {
             // Closes the connection too: that is how an app server learns of it.
             task.abort();
         }
@@ -324,13 +328,13 @@
         let finished = open.answer.is_none();
         drop(requests);
         let attempt = number as u32;
-        self.event(Event::Ended(Ended {
-            id: id.clone(),
-            attempt,
-            server,
+        self.event(Event::AttemptEnded(EndedAttempt {
+            request: id.clone(),
+            attempt_number: attempt,
+            endpoint: server,
             outcome,
-            spent,
-            finished,
+            elapsed: spent,
+            request_completed: finished,
             final_units: None,
         }));
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,16 +1,10 @@
-//! The sockets round the decisions: one file for each kind of peer, and the node that joins them.
+//! The sockets around the decisions: one folder for each kind of peer, and the event loop that joins them.
 
-pub mod backoff;
-pub mod budget;
-pub mod clients;
 pub mod counter;
+pub mod descriptor_budget;
 pub mod discovery;
-pub mod endpoints;
-pub mod http;
-pub mod intake;
-pub mod list;
-pub mod node;
-pub mod pipeline;
-pub mod reuse;
-pub mod servers;
-pub mod stop;
+pub mod downstream;
+pub mod event_loop;
+pub mod http_client;
+pub mod shutdown_schedule;
+pub mod upstream;
--- a/src/net/stop.rs
+++ b/src/net/shutdown_schedule.rs
@@ -19,7 +19,7 @@
 pub const FLUSH_LEAST: Duration = Duration::from_millis(100);
 
 /// When what is done, as spans from SIGTERM.
-pub struct Timetable {
+pub struct ShutdownSchedule {
     /// Idle connections are closed.
     pub idle: Duration,
     /// The listener is closed.
@@ -30,7 +30,7 @@
     pub end: Duration,
 }
 
-impl Timetable {
+impl ShutdownSchedule {
     /// For settings whose longest deadline is this one. Danger: reckoned from the deadline alone, the last moment
     /// of a stop lay before the listener's end where all deadlines are short, and the node ended with answers
     /// unwritten.
@@ -38,6 +38,6 @@
         let kill = longest_deadline.min(DEADLINE_MOST) + KILLED_AFTER;
         let deaf = DEAF.min(kill - DEAF_BEFORE_KILL);
         let fail = (kill - FAIL_BEFORE_KILL).max(deaf);
-        Timetable { idle: IDLE, deaf, fail, end: (kill - END_BEFORE_KILL).max(fail + FLUSH_LEAST) }
+        ShutdownSchedule { idle: IDLE, deaf, fail, end: (kill - END_BEFORE_KILL).max(fail + FLUSH_LEAST) }
     }
 }
--- a/src/net/servers.rs
+++ b/src/net/upstream/mod.rs
@@ -1,5 +1,7 @@
 //! The app servers: where they are, the connections kept to each, attempts and their outcomes, probes.
 
+pub mod reuse;
+
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,18 +9,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::interface::{Micros, Outcome, ServerId};
+use crate::decision::{EndpointId, Micros, Outcome};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{HeaderName, HeaderValue, HOST};
 use hyper::{Method, Request, StatusCode, Uri};
 use tokio::time::{timeout, timeout_at, Instant};
 
-use super::budget::{Budget, Slot};
-use super::endpoints::{Endpoint, Endpoints};
-use super::http::{framed, whole, BadBody, Broken, Connection};
-use super::node::Clock;
-use super::reuse::Reuse;
+use crate::net::descriptor_budget::{DescriptorBudget, DescriptorPermit};
+use crate::net::discovery::endpoints::{Endpoint, Endpoints};
+use crate::net::event_loop::Clock;
+use crate::net::http_client::{framed, whole, BadBody, Broken, Connection};
+use crate::net::upstream::reuse::Reuse;
 
 /// Bodies hold at most this much.
 pub const BODY_MOST: usize = 64 * 1024;
@@ -88,22 +90,22 @@
 impl Known {
     /// An app server as it is to be reached. What is known now counts first: one that drains or has moved does so
     /// at once.
-    fn get(&self, server: ServerId) -> Option<&Endpoint> {
+    fn get(&self, server: EndpointId) -> Option<&Endpoint> {
         self.now.get(server).or_else(|| self.before.as_ref()?.get(server))
     }
 
     /// One that wants new work.
-    fn open(&self, server: ServerId) -> Option<&Endpoint> {
+    fn open(&self, server: EndpointId) -> Option<&Endpoint> {
         self.get(server).filter(|e| e.up())
     }
 }
 
 /// All app servers that discovery has named.
-pub struct Servers {
+pub struct Upstreams {
     known: RefCell<Known>,
     /// Of those only that have an idle connection or an attempt out, or had one when last swept.
-    pools: RefCell<BTreeMap<ServerId, Rc<Pool>>>,
-    budget: Rc<Budget>,
+    pools: RefCell<BTreeMap<EndpointId, Rc<Pool>>>,
+    budget: Rc<DescriptorBudget>,
     connect_timeout: Duration,
     keep: Duration,
     reuse: Reuse,
@@ -124,12 +126,12 @@
     Shed,
 }
 
-impl Servers {
+impl Upstreams {
     /// No app servers yet. Idle connections are dropped at half the time after which the peer may do so: a
     /// request that crosses the peer's close could not be told from one that ran.
-    pub fn new(budget: Rc<Budget>, connect_timeout: Micros, conn_idle: Micros) -> Rc<Self> {
+    pub fn new(budget: Rc<DescriptorBudget>, connect_timeout: Micros, conn_idle: Micros) -> Rc<Self> {
         let or = |value: Micros, default| if value > 0 { value } else { default };
-        let servers = Rc::new(Servers {
+        let servers = Rc::new(Upstreams {
             known: RefCell::default(),
             pools: RefCell::default(),
             budget,
@@ -180,7 +182,7 @@
 
     /// Takes in changes. These are told what has changed, and add the app servers whose connections may lead
     /// elsewhere now.
-    pub fn change<T>(&self, changes: impl FnOnce(&mut Endpoints, &mut Vec<ServerId>) -> T) -> T {
+    pub fn change<T>(&self, changes: impl FnOnce(&mut Endpoints, &mut Vec<EndpointId>) -> T) -> T {
         let mut known = self.known.borrow_mut();
         let mut stale = Vec::new();
         let told = changes(Arc::make_mut(&mut known.now), &mut stale);
@@ -195,7 +197,7 @@
     }
 
     /// Keeps no connection of these, also none that is in use.
-    fn let_go(&self, stale: &[ServerId]) {
+    fn let_go(&self, stale: &[EndpointId]) {
         let mut pools = self.pools.borrow_mut();
         for pool in stale.iter().filter_map(|server| pools.remove(server)) {
             pool.idle.borrow_mut().clear();
@@ -204,7 +206,7 @@
 
     /// Puts this in the place of what was known, which can still be reached where it is not named any more, until
     /// `replaced`. Only app servers with connections are looked at; those of the stale ones are not kept.
-    pub fn replace(&self, endpoints: Endpoints, stale: &[ServerId]) {
+    pub fn replace(&self, endpoints: Endpoints, stale: &[EndpointId]) {
         self.let_go(stale);
         let mut known = self.known.borrow_mut();
         let before = std::mem::replace(&mut known.now, Arc::new(endpoints));
@@ -250,7 +252,7 @@
     pub async fn attempt(
         &self,
         clock: &Clock,
-        server: ServerId,
+        server: EndpointId,
         forward: &Forward,
         stop: Micros,
         begun: &Cell<bool>,
@@ -263,7 +265,7 @@
                 Ok(Ok(line)) => line,
                 // Nothing has been written.
                 Err(_) | Ok(Err(NoLine::Failed)) => return (Outcome::ConnectFailed, None),
-                Ok(Err(NoLine::Shed)) => return (Outcome::Ignored, None),
+                Ok(Err(NoLine::Shed)) => return (Outcome::NotSent, None),
             };
             let left = stop.saturating_sub(clock.now()) / 1000;
             let Line { mut connection, pool, idle } = line;
@@ -321,7 +323,7 @@
         let turned_away = status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::GATEWAY_TIMEOUT;
         Ok(match body {
             // The head alone says that it has not run, whatever became of the rest.
-            body if turned_away && not_run => (Outcome::Full, None, body.is_ok()),
+            body if turned_away && not_run => (Outcome::Rejected, None, body.is_ok()),
             Err(BadBody::Broken) => (Outcome::Reset, None, false),
             Err(_) => return Err(Broken::Spoilt),
             Ok(body) if status == StatusCode::OK => (Outcome::Ok, Some(body), true),
@@ -330,7 +332,7 @@
     }
 
     /// A kept connection or a new one.
-    async fn line(&self, server: ServerId, fresh_only: bool, left: Duration) -> Result<Line, NoLine> {
+    async fn line(&self, server: EndpointId, fresh_only: bool, left: Duration) -> Result<Line, NoLine> {
         // Danger: a machine that has vanished must not take the time in which another could still be asked.
         let patience = self.connect_timeout.min((left / 4).max(CONNECT_LEAST));
         let pool = self.pool(server).ok_or(NoLine::Failed)?;
@@ -357,7 +359,7 @@
     }
 
     /// The pool of an app server that wants new work.
-    fn pool(&self, server: ServerId) -> Option<Rc<Pool>> {
+    fn pool(&self, server: EndpointId) -> Option<Rc<Pool>> {
         let known = self.known.borrow();
         let Endpoint { address, attributes, .. } = known.open(server)?;
         let (address, since_ms) = (*address, attributes.since_ms);
@@ -369,7 +371,7 @@
     }
 
     /// Whether connections of this pool still lead to an app server that wants new work.
-    fn is_current(&self, server: ServerId, pool: &Rc<Pool>) -> bool {
+    fn is_current(&self, server: EndpointId, pool: &Rc<Pool>) -> bool {
         self.known.borrow().open(server).is_some()
             && self.pools.borrow().get(&server).is_some_and(|p| Rc::ptr_eq(p, pool))
     }
@@ -389,12 +391,12 @@
 
     /// A place for one more connection. Guard: with none free, idle ones are closed first; what finds none
     /// within the connect time-out is shed.
-    async fn slot(&self) -> Slot {
+    async fn slot(&self) -> DescriptorPermit {
         let close_one = || self.close_an_idle() || self.budget.close_an_idle_client();
         self.budget.room(|| self.budget.for_server(), close_one).await
     }
 
-    fn give_back(&self, server: ServerId, connection: Connection, pool: &Rc<Pool>) {
+    fn give_back(&self, server: EndpointId, connection: Connection, pool: &Rc<Pool>) {
         if self.is_current(server, pool) {
             pool.idle.borrow_mut().push(Kept { connection, since: Instant::now() });
             self.budget.ease();
@@ -402,7 +404,7 @@
     }
 
     /// Asks an app server whether it is alive.
-    pub async fn probe(&self, server: ServerId) -> Outcome {
+    pub async fn probe(&self, server: EndpointId) -> Outcome {
         let Ok(Line { mut connection, pool, .. }) = self.line(server, false, PROBE_WAIT).await else {
             return Outcome::ConnectFailed;
         };
--- a/src/wire.rs
+++ b/src/protocol/simulator.rs
@@ -6,12 +6,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::control::Controller;
-use crate::interface::*;
+use crate::decision::DecisionEngine;
+use crate::decision::*;
 
 /// Why the adapter stopped.
 #[derive(Debug)]
-pub enum WireError {
+pub enum SimulatorError {
     /// A line that is not the JSON expected.
     Malformed {
         /// Number of the line, from 1.
@@ -27,22 +27,22 @@
     Io(std::io::Error),
 }
 
-impl fmt::Display for WireError {
+impl fmt::Display for SimulatorError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WireError::Malformed { line, reason } => write!(f, "line {line} is malformed: {reason}"),
-            WireError::NotStarted(node) => write!(f, "message for {node}, which has not been started"),
-            WireError::UnknownList(list) => write!(f, "list {list} has not been set up"),
-            WireError::Io(error) => write!(f, "input or output failed: {error}"),
+            SimulatorError::Malformed { line, reason } => write!(f, "line {line} is malformed: {reason}"),
+            SimulatorError::NotStarted(node) => write!(f, "message for {node}, which has not been started"),
+            SimulatorError::UnknownList(list) => write!(f, "list {list} has not been set up"),
+            SimulatorError::Io(error) => write!(f, "input or output failed: {error}"),
         }
     }
 }
 
-impl std::error::Error for WireError {}
+impl std::error::Error for SimulatorError {}
 
-impl From<std::io::Error> for WireError {
+impl From<std::io::Error> for SimulatorError {
     fn from(error: std::io::Error) -> Self {
-        WireError::Io(error)
+        SimulatorError::Io(error)
     }
 }
 
@@ -63,7 +63,7 @@
 enum Message {
     PowerOn {
         salt: u64,
-        env: Box<Env>,
+        env: Box<SettingsDocument>,
     },
     Pool {
         list: u32,
@@ -177,7 +177,7 @@
     Ignored,
 }
 
-impl Env {
+impl SettingsDocument {
     /// The most units that a request counts; 0 where that is not told.
     pub fn largest_units(&self) -> f64 {
         self.domain.largest
@@ -186,7 +186,7 @@
 
 /// The settings of one node, as the simulator's first message and a real node's configuration hold them.
 #[derive(Deserialize)]
-pub struct Env {
+pub struct SettingsDocument {
     /// How many nodes there are.
     pub n_instances: u32,
     me: u32,
@@ -197,10 +197,10 @@
     #[serde(default)]
     registry_mode: String,
     /// The classes of request, in the order of their numbers.
-    pub classes: Vec<EnvClass>,
+    pub classes: Vec<ClassDocument>,
     /// The plans, in the order of their numbers.
     #[serde(default)]
-    pub tariffs: Vec<EnvPlan>,
+    pub tariffs: Vec<PlanDocument>,
     /// The zones' names, in the order of their numbers.
     #[serde(default)]
     pub zones: Vec<String>,
@@ -208,32 +208,32 @@
     #[serde(default)]
     pub kinds: Vec<String>,
     /// What the site permits.
-    pub bounds: EnvBounds,
+    pub bounds: BoundsDocument,
     #[serde(default)]
-    domain: EnvDomain,
+    domain: DomainDocument,
     #[serde(default)]
-    charges: EnvCharges,
+    charges: ChargesDocument,
     #[serde(default)]
-    clients: EnvClients,
+    clients: ClientsDocument,
     #[serde(default)]
-    invariants: EnvRules,
+    invariants: InvariantsDocument,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct EnvClients {
+struct ClientsDocument {
     marks_retry: bool,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct EnvCharges {
+struct ChargesDocument {
     cross_zone: f64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct EnvDomain {
+struct DomainDocument {
     may_count: bool,
     count_wait: Micros,
     cost_after: bool,
@@ -242,7 +242,7 @@
 
 /// What the site permits.
 #[derive(Deserialize)]
-pub struct EnvBounds {
+pub struct BoundsDocument {
     /// An app server closes a connection that has stood idle for this long.
     #[serde(default)]
     pub conn_idle: Micros,
@@ -263,7 +263,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct EnvRules {
+struct InvariantsDocument {
     cold_from: f64,
     cold: Micros,
     fall_multiple: f64,
@@ -272,7 +272,7 @@
 
 /// A class of request.
 #[derive(Deserialize)]
-pub struct EnvClass {
+pub struct ClassDocument {
     /// Its name.
     #[serde(default)]
     pub name: String,
@@ -280,9 +280,9 @@
     /// The client's longest wait over all its tries.
     pub deadline: Micros,
     /// Whether it may run again.
-    pub effect: WireEffect,
+    pub effect: IdempotencyName,
     #[serde(default)]
-    group: WireGroup,
+    group: ScopeName,
     #[serde(default)]
     window: Micros,
     #[serde(default)]
@@ -296,7 +296,7 @@
 /// Whether a class may run again.
 #[derive(Debug, Deserialize, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum WireEffect {
+pub enum IdempotencyName {
     /// Repeats are harmless.
     Safe,
     /// App servers of one group drop a repeat.
@@ -307,7 +307,7 @@
 
 #[derive(Deserialize, Clone, Copy, Default)]
 #[serde(rename_all = "lowercase")]
-enum WireGroup {
+enum ScopeName {
     #[default]
     All,
     Zone,
@@ -317,7 +317,7 @@
 /// A plan.
 #[derive(Deserialize, Default)]
 #[serde(default)]
-pub struct EnvPlan {
+pub struct PlanDocument {
     /// Its name.
     pub name: String,
     quota_rate: f64,
@@ -361,155 +361,158 @@
         match code {
             Code::Ok => Outcome::Ok,
             Code::Failed => Outcome::Error,
-            Code::QueueFull => Outcome::Full,
+            Code::QueueFull => Outcome::Rejected,
             Code::TimedOut => Outcome::TimedOut,
             Code::ConnectError => Outcome::ConnectFailed,
             Code::ResetByPeer => Outcome::Reset,
             Code::Canceled => Outcome::Cancelled,
-            Code::Ignored => Outcome::Ignored,
+            Code::Ignored => Outcome::NotSent,
         }
     }
 }
 
-impl From<How> for ListKind {
+impl From<How> for EndpointUpdateKind {
     fn from(how: How) -> Self {
         match how {
-            How::Incr => ListKind::Changes,
-            How::Total => ListKind::Whole,
-            How::WarmCopy => ListKind::Stale,
-            How::Lost => ListKind::Lost,
+            How::Incr => EndpointUpdateKind::Delta,
+            How::Total => EndpointUpdateKind::Snapshot,
+            How::WarmCopy => EndpointUpdateKind::StaleSnapshot,
+            How::Lost => EndpointUpdateKind::WatchLost,
         }
     }
 }
 
-impl From<&Entry> for Member {
+impl From<&Entry> for EndpointEntry {
     fn from(e: &Entry) -> Self {
-        Member {
-            server: ServerId(e.server),
+        EndpointEntry {
+            id: EndpointId(e.server),
             zone: e.site,
-            kind: e.family_type,
+            machine_kind: e.family_type,
             cell: e.block,
             state: match e.condition {
-                Condition::In => MemberState::In,
-                Condition::Lame => MemberState::Draining,
-                Condition::Out => MemberState::Out,
+                Condition::In => EndpointState::Active,
+                Condition::Lame => EndpointState::Draining,
+                Condition::Out => EndpointState::Removed,
             },
             weight: e.weight.unwrap_or(1.0),
-            started: e.last_start,
+            started_at: e.last_start,
         }
     }
 }
 
-impl From<Env> for Settings {
-    fn from(env: Env) -> Self {
+impl From<SettingsDocument> for Settings {
+    fn from(env: SettingsDocument) -> Self {
         Settings {
-            me: env.me,
-            nodes: env.n_instances,
+            node_index: env.me,
+            node_count: env.n_instances,
             zone: env.zone,
-            quantum: env.quantum,
-            list_on_request: env.registry_mode == "ask",
-            marks_retry: env.clients.marks_retry,
-            largest_units: env.domain.largest,
-            settles_after: env.domain.cost_after,
-            cross_zone_price: env.charges.cross_zone,
-            classes: env.classes.into_iter().map(Class::from).collect(),
+            batch_interval: env.quantum,
+            polls_endpoint_list: env.registry_mode == "ask",
+            clients_mark_retries: env.clients.marks_retry,
+            max_request_units: env.domain.largest,
+            units_settled_after: env.domain.cost_after,
+            cross_zone_cost: env.charges.cross_zone,
+            classes: env.classes.into_iter().map(RequestClass::from).collect(),
             plans: env.tariffs.into_iter().map(Plan::from).collect(),
             limits: Limits {
-                cancel: env.bounds.cancel,
-                probing: env.bounds.probing,
-                retry_after: env.bounds.retry_after,
+                cancel_allowed: env.bounds.cancel,
+                probes_allowed: env.bounds.probing,
+                retry_after_allowed: env.bounds.retry_after,
                 max_retry_after: env.bounds.max_retry_after,
-                try_limit: env.bounds.try_limit,
-                connect: env.bounds.connect_timeout,
+                max_attempts: env.bounds.try_limit,
+                connect_timeout: env.bounds.connect_timeout,
             },
-            counter: CounterSettings { allowed: env.domain.may_count, wait: env.domain.count_wait },
-            rules: Rules {
-                cold_from: env.invariants.cold_from,
-                cold: env.invariants.cold,
-                fall_multiple: env.invariants.fall_multiple,
-                tip_after: env.invariants.tip_after,
+            counter: CounterSettings { enabled: env.domain.may_count, timeout: env.domain.count_wait },
+            warm_up: WarmUp {
+                initial_fraction: env.invariants.cold_from,
+                duration: env.invariants.cold,
+                overload_multiple: env.invariants.fall_multiple,
+                overload_duration: env.invariants.tip_after,
             },
         }
     }
 }
 
-impl From<EnvClass> for Class {
-    fn from(c: EnvClass) -> Self {
-        Class {
-            on_time: c.on_time,
-            deadline: c.deadline,
-            effect: match c.effect {
-                WireEffect::Safe => Effect::Safe,
-                WireEffect::Keyed => Effect::Keyed,
-                WireEffect::Unsafe => Effect::Unsafe,
+impl From<ClassDocument> for RequestClass {
+    fn from(c: ClassDocument) -> Self {
+        RequestClass {
+            latency_objective: c.on_time,
+            total_timeout: c.deadline,
+            idempotency: match c.effect {
+                IdempotencyName::Safe => Idempotency::Safe,
+                IdempotencyName::Keyed => Idempotency::Keyed,
+                IdempotencyName::Unsafe => Idempotency::NonIdempotent,
             },
-            group: match c.group {
-                WireGroup::All => Group::All,
-                WireGroup::Zone => Group::Zone,
-                WireGroup::Cell => Group::Cell,
+            deduplication_scope: match c.group {
+                ScopeName::All => DeduplicationScope::All,
+                ScopeName::Zone => DeduplicationScope::Zone,
+                ScopeName::Cell => DeduplicationScope::Cell,
             },
-            window: c.window,
-            credit: c.credit,
-            late_worth: c.late_worth,
-            stream: c.stream,
+            deduplication_window: c.window,
+            priority_weight: c.credit,
+            late_weight: c.late_worth,
+            streaming: c.stream,
         }
     }
 }
 
-impl From<EnvPlan> for Plan {
-    fn from(p: EnvPlan) -> Self {
+impl From<PlanDocument> for Plan {
+    fn from(p: PlanDocument) -> Self {
         Plan {
-            quota_rate: p.quota_rate,
-            burst: p.most_at_once,
-            ceiling_rate: p.ceiling_rate,
-            ceiling_burst: p.ceiling_burst,
-            ceiling_slack: p.ceiling_slack,
-            open_limit: p.concurrency,
-            excess_cost: p.excess_cost,
-            extra_worth: p.extra_worth,
-            worth_factor: p.worth_factor,
+            quota_units_per_second: p.quota_rate,
+            burst_units: p.most_at_once,
+            ceiling_units_per_second: p.ceiling_rate,
+            ceiling_burst_units: p.ceiling_burst,
+            ceiling_slack_units: p.ceiling_slack,
+            max_in_flight: p.concurrency,
+            over_quota_cost: p.excess_cost,
+            over_quota_weight: p.extra_worth,
+            weight_factor: p.worth_factor,
         }
     }
 }
 
-fn event(message: Message, lists: &BTreeMap<u32, Vec<Member>>) -> Result<Option<Event>, WireError> {
+fn event(
+    message: Message,
+    lists: &BTreeMap<u32, Vec<EndpointEntry>>,
+) -> Result<Option<Event>, SimulatorError> {
     Ok(Some(match message {
         Message::Membership { how: How::Lost, .. } => {
-            Event::Members { kind: ListKind::Lost, entries: Vec::new() }
+            Event::EndpointsUpdated { kind: EndpointUpdateKind::WatchLost, entries: Vec::new() }
         }
-        Message::Membership { how, list } => Event::Members {
+        Message::Membership { how, list } => Event::EndpointsUpdated {
             kind: how.into(),
-            entries: lists.get(&list).ok_or(WireError::UnknownList(list))?.clone(),
+            entries: lists.get(&list).ok_or(SimulatorError::UnknownList(list))?.clone(),
         },
-        Message::Knock(k) => Event::Request(NewRequest {
+        Message::Knock(k) => Event::RequestReceived(NewRequest {
             id: k.xid.as_str().into(),
-            customer: CustomerId(u64::from_str_radix(&k.member, 16).unwrap_or_default()),
+            account: AccountId(u64::from_str_radix(&k.member, 16).unwrap_or_default()),
             class: k.lane,
             plan: k.terms,
             units: k.quota_units.unwrap_or(1.0),
-            first_node: k.set_start as u32,
-            spread: k.entry_points.unwrap_or(0.0) as u32,
-            marked_retry: k.again_by_client,
-            due: k.due,
+            first_account_node: k.set_start as u32,
+            account_node_count: k.entry_points.unwrap_or(0.0) as u32,
+            is_retry: k.again_by_client,
+            deadline: k.due,
         }),
-        Message::Ended(e) => Event::Ended(Ended {
-            id: e.xid.as_str().into(),
-            attempt: e.seq_no,
-            server: ServerId(e.server),
+        Message::Ended(e) => Event::AttemptEnded(EndedAttempt {
+            request: e.xid.as_str().into(),
+            attempt_number: e.seq_no,
+            endpoint: EndpointId(e.server),
             outcome: e.state_code.into(),
-            spent: e.spent,
-            finished: e.finished,
+            elapsed: e.spent,
+            request_completed: e.finished,
             final_units: e.final_units,
         }),
-        Message::Expired { xid } => Event::Gone { id: xid.as_str().into() },
-        Message::AckFirst { xid } => Event::Began { id: xid.as_str().into() },
+        Message::Expired { xid } => Event::ClientDisconnected { request: xid.as_str().into() },
+        Message::AckFirst { xid } => Event::ResponseStarted { request: xid.as_str().into() },
         Message::TallyBack { book, state_code, value } => {
-            Event::Counted { name: CountName(book), outcome: state_code.into(), total: value }
+            Event::CounterReplied { key: CounterKey(book), outcome: state_code.into(), total: value }
         }
         Message::ProbeDone { server, state_code } => {
-            Event::Probed { server: ServerId(server), outcome: state_code.into() }
+            Event::ProbeCompleted { endpoint: EndpointId(server), outcome: state_code.into() }
         }
-        Message::Alarm { handle } => Event::Timer { id: handle },
+        Message::Alarm { handle } => Event::TimerFired { id: handle },
         Message::PowerOn { .. } | Message::Pool { .. } | Message::Killed | Message::Unknown => {
             return Ok(None)
         }
@@ -518,40 +521,44 @@
 
 fn output(action: Action) -> Output {
     match action {
-        Action::Send { id, server, timeout } => {
+        Action::StartAttempt { request: id, endpoint: server, timeout } => {
             Output::PassOn { xid: id.0.to_string(), server: server.0, timeout }
         }
-        Action::Refuse { id, retry_after } => {
+        Action::Reject { request: id, retry_after } => {
             Output::Bounce { xid: id.0.to_string(), not_before_for: retry_after }
         }
-        Action::Fail { id } => Output::EndFailed { xid: id.0.to_string() },
-        Action::Cancel { id, attempt } => Output::Abandon { xid: id.0.to_string(), seq_no: attempt },
-        Action::Probe { server } => Output::Check { server: server.0 },
-        Action::Count { name, amount, keep_for } => Output::Add { book: name.0, amount, keep_for },
-        Action::Timer { id, after } => Output::After { handle: id, from_now: after },
-        Action::FetchList => Output::Snapshot,
-        Action::WatchList => Output::Watch { active: true },
+        Action::Fail { request: id } => Output::EndFailed { xid: id.0.to_string() },
+        Action::CancelAttempt { request: id, attempt_number: attempt } => {
+            Output::Abandon { xid: id.0.to_string(), seq_no: attempt }
+        }
+        Action::ProbeEndpoint { endpoint: server } => Output::Check { server: server.0 },
+        Action::IncrementCounter { key: name, amount, keep_for } => {
+            Output::Add { book: name.0, amount, keep_for }
+        }
+        Action::SetTimer { id, after } => Output::After { handle: id, from_now: after },
+        Action::FetchEndpoints => Output::Snapshot,
+        Action::WatchEndpoints => Output::Watch { active: true },
     }
 }
 
 /// Reads batches line by line, lets each instance's module decide, and writes one reply a batch.
-pub fn run(input: impl BufRead, mut out: impl Write) -> Result<(), WireError> {
-    let mut nodes: BTreeMap<String, Controller> = BTreeMap::new();
-    let mut lists: BTreeMap<u32, Vec<Member>> = BTreeMap::new();
+pub fn run(input: impl BufRead, mut out: impl Write) -> Result<(), SimulatorError> {
+    let mut nodes: BTreeMap<String, DecisionEngine> = BTreeMap::new();
+    let mut lists: BTreeMap<u32, Vec<EndpointEntry>> = BTreeMap::new();
     let mut actions = Vec::new();
     for (index, line) in input.lines().enumerate() {
         let line = line?;
         let batch: Batch = serde_json::from_str(&line)
-            .map_err(|e| WireError::Malformed { line: index + 1, reason: e.to_string() })?;
+            .map_err(|e| SimulatorError::Malformed { line: index + 1, reason: e.to_string() })?;
         let mut replies: Vec<(String, Vec<Output>)> = Vec::new();
         for part in batch.parts {
             for message in part.msgs {
                 match message {
                     Message::PowerOn { salt, env } => {
-                        nodes.insert(part.node_id.clone(), Controller::new(salt, (*env).into()));
+                        nodes.insert(part.node_id.clone(), DecisionEngine::new(salt, (*env).into()));
                     }
                     Message::Pool { list, members } => {
-                        lists.insert(list, members.iter().map(Member::from).collect());
+                        lists.insert(list, members.iter().map(EndpointEntry::from).collect());
                     }
                     Message::Killed => {
                         nodes.remove(&part.node_id);
@@ -561,7 +568,7 @@
                         let Some(event) = event(other, &lists)? else { continue };
                         let node = nodes
                             .get_mut(&part.node_id)
-                            .ok_or_else(|| WireError::NotStarted(part.node_id.clone()))?;
+                            .ok_or_else(|| SimulatorError::NotStarted(part.node_id.clone()))?;
                         node.handle(batch.time, event, &mut actions);
                     }
                 }
@@ -573,7 +580,7 @@
         }
         let parts = replies.iter_mut().map(|(id, o)| ReplyPart { node_id: id, output: std::mem::take(o) });
         serde_json::to_writer(&mut out, &Reply { parts: parts.collect() })
-            .map_err(|e| WireError::Io(e.into()))?;
+            .map_err(|e| SimulatorError::Io(e.into()))?;
         out.write_all(b"\n")?;
         out.flush()?;
     }
--- a/tests/backoff.rs
+++ b/tests/backoff.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use mountbend::net::backoff::Backoff;
+use edge_node::net::discovery::backoff::Backoff;
 
 #[test]
 fn pauses_double_to_the_most_and_nodes_do_not_keep_step() {
