--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -2,8 +2,8 @@
 
 mod fakes;
 
+use edge_node::net::downstream::pipeline::Pipeline;
 use fakes::*;
-use mountbend::net::pipeline::Pipeline;
 use serde_json::json;
 
 #[test]
--- a/tests/replies.rs
+++ b/tests/replies.rs
@@ -1,7 +1,7 @@
 //! What the counter may answer.
 
 use bytes::BytesMut;
-use mountbend::net::counter::{decode, Garbage, Reply};
+use edge_node::net::counter::{decode, Garbage, Reply};
 
 #[test]
 fn replies_are_taken_whole() {
--- a/tests/reuse.rs
+++ b/tests/reuse.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use mountbend::net::reuse::Reuse;
+use edge_node::net::upstream::reuse::Reuse;
 
 #[test]
 fn ages_that_break_are_passed_over_until_that_is_long_ago() {
