--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -4,7 +4,7 @@
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 
 use crate::decision::DecisionEngine;
 use crate::decision::*;
@@ -13,6 +13,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
+use crate::net::clock::Clock;
 use crate::net::counter::CounterClient;
 use crate::net::discovery::Discovery;
 use crate::net::upstream::{Forward, Upstreams};
@@ -22,29 +23,6 @@
 /// What is unanswered this long before the client gives up has failed.
 const FAIL_BEFORE: Micros = 15_000;
 
-/// Unix time in microseconds that never goes back: the machine's clock at the start, then monotonic time.
-pub struct Clock {
-    start: Micros,
-    at: Instant,
-}
-
-impl Clock {
-    fn new() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: unix.as_micros() as Micros, at: Instant::now() }
-    }
-
-    /// Now.
-    pub fn now(&self) -> Micros {
-        self.start + self.at.elapsed().as_micros() as Micros
-    }
-
-    /// A time of this clock as the runtime's timers take it.
-    pub fn instant(&self, time: Micros) -> Instant {
-        self.at + Duration::from_micros(time.saturating_sub(self.start))
-    }
-}
-
 /// The one final answer to a request.
 pub enum Answer {
     /// An app server's answer.
@@ -104,7 +82,7 @@
         discovery: Rc<Discovery>,
     ) -> Rc<Self> {
         Rc::new(EventLoop {
-            clock: Clock::new(),
+            clock: Clock::start(),
             servers,
             counter,
             discovery,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,10 +1,12 @@
 //! The sockets around the decisions: one folder for each kind of peer, and the event loop that joins them.
 
+pub mod clock;
 pub mod counter;
 pub mod descriptor_budget;
 pub mod discovery;
 pub mod downstream;
 pub mod event_loop;
+pub mod event_sink;
 pub mod http_client;
 pub mod shutdown_schedule;
 pub mod upstream;
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -16,9 +16,9 @@
 use hyper::{Method, Request, StatusCode, Uri};
 use tokio::time::{timeout, timeout_at, Instant};
 
+use crate::net::clock::Clock;
 use crate::net::descriptor_budget::{DescriptorBudget, DescriptorPermit};
 use crate::net::discovery::endpoints::{Endpoint, Endpoints};
-use crate::net::event_loop::Clock;
 use crate::net::http_client::{framed, whole, BadBody, Broken, Connection};
 use crate::net::upstream::reuse::Reuse;
 
