--- a/src/decision/attempts/mod.rs
+++ b/src/decision/attempts/mod.rs
@@ -1,14 +1,8 @@
 //! Attempts: how they begin and end, when another may follow, and the final answers.
 
+use super::balancer::{AttemptResult, Placement, Selection, SelectionRequest};
 use super::*;
 
-/// Weight of a new latency sample in the EWMAs, and the latency assumed before the first answer.
-const LATENCY_GAIN: f64 = 0.1;
-pub(super) const LATENCY_START: f64 = 100_000.0;
-/// Breaks in a row eject a server when so many would come by chance, at the fleet's own share of breaks, less
-/// often than this; so many always do.
-const BREAK_CHANCE: f64 = 0.01;
-const BREAKS_MOST: u32 = 3;
 /// Retry budget: further attempts per first attempt, and the most saved up.
 const RETRY_SHARE: f64 = 0.2;
 pub(super) const RETRY_STORE: f64 = 20.0;
@@ -17,7 +11,7 @@
 pub(super) struct Attempt {
     pub server: EndpointId,
     /// The server's zone and cell: the request's group outlives the server.
-    pub place: (u32, u32),
+    pub place: Placement,
     pub sent: Micros,
 }
 
@@ -38,81 +32,54 @@
 impl DecisionEngine {
     pub(super) fn launch(&mut self, id: &RequestId, new: bool, out: &mut Vec<Action>) {
         match self.choose(id, None) {
-            Some(to) => self.send(id, to, out),
+            Some(selection) => self.send(id, selection, out),
             None => self.parked.push_back(id.clone()),
         }
-        self.virtual_time += if new { (1e6 / self.subset_warmth.max(1.0)) as Micros } else { 0 };
+        if new {
+            self.balancer.request_launched();
+        }
+    }
+
+    fn choose(&mut self, id: &RequestId, exclude: Option<EndpointId>) -> Option<Selection> {
+        let r = self.requests.get(id)?;
+        let first_possible_run = r.ran.map(|a| a.place);
+        let wanted = SelectionRequest { class: r.ask.class, plan: r.ask.plan, first_possible_run, exclude };
+        self.balancer.choose(&self.set, self.now, &mut self.random, &wanted)
     }
 
-    fn send(&mut self, id: &RequestId, (server, warmth): (EndpointId, f64), out: &mut Vec<Action>) {
+    fn send(&mut self, id: &RequestId, selection: Selection, out: &mut Vec<Action>) {
         let now = self.now;
-        let (Some(r), Some(s)) = (self.requests.get_mut(id), self.servers.sent(server, now)) else { return };
-        s.slow_start.refill(self.virtual_time, warmth, 1.5);
-        s.slow_start.store -= 1.0;
+        let Some(r) = self.requests.get_mut(id) else { return };
+        let Some(place) = self.balancer.attempt_started(selection, now) else { return };
+        let server = selection.endpoint;
         self.retries = (self.retries + if r.attempts == 0 { RETRY_SHARE } else { -1.0 }).min(RETRY_STORE);
         r.attempts += 1;
-        r.in_flight = Some(Attempt { server, place: (s.told.zone, s.told.cell), sent: now });
+        r.in_flight = Some(Attempt { server, place, sent: now });
         self.customers.entry(r.ask.account).and_modify(|c| c.open += 1);
         out.push(Action::StartAttempt { request: id.clone(), endpoint: server, timeout: 0 });
     }
 
     pub(super) fn on_ended(&mut self, end: EndedAttempt, out: &mut Vec<Action>) {
-        let (now, bound) = (self.now, self.latency_bound());
+        let now = self.now;
         let Some(r) = self.requests.get_mut(&end.request) else { return };
         let Some(a) = r.in_flight.take_if(|_| end.attempt_number == r.attempts - 1) else { return };
-        let (server, sent) = (a.server, a.sent);
+        let server = a.server;
         let may_have_run =
             !matches!(end.outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent);
         r.ran = r.ran.or(may_have_run.then_some(a));
         r.answered |= end.request_completed;
         self.customers.entry(r.ask.account).and_modify(|c| c.open = c.open.saturating_sub(1));
-        let Some(s) = self.servers.ended(server, sent) else { return };
-        // Danger: servers that fail one class, or turn one plan away, and serve the rest. They are passed
-        // over for that kind alone, by what else is known of it (outlier ejection by success rate).
-        let (ok, bad) =
-            (end.outcome == Outcome::Ok, matches!(end.outcome, Outcome::Error | Outcome::Rejected));
-        // Danger: servers that lose part of what they take and answer the rest. An answer clears all strikes,
-        // and a node that meets each server seldom would learn of each loss anew.
-        let unanswered = matches!(end.outcome, Outcome::TimedOut | Outcome::Cancelled);
-        let lost = unanswered && s.heard < sent && end.elapsed as f64 > bound;
-        let kinds = [(r.ask.class, bad), (self.set.classes.len() + r.ask.plan, bad), (LOST, lost)];
-        for (kind, failed) in kinds.into_iter().filter(|&(_, failed)| failed || ok) {
-            for tally in [&mut s.tally, &mut self.tally] {
-                tally.entry(kind).or_default().add(now, f64::from(u8::from(failed)), TALLY_SPAN);
-            }
-        }
-        let quiet = s.heard < sent && sent >= s.ejected;
-        // Danger: connections that break at all servers alike (a lossy network, servers that close idle ones
-        // early): ejected in turn for one break each, most of a fleet that answers would be out. So a break
-        // tells of a server by how rare breaks are, and by no answer since. Where breaks are rare one is
-        // enough. It does harm where servers die while many others break: each takes two or three more.
-        let common = self.breaks.mean(now, 0.0, TALLY_SPAN);
-        let broke = end.outcome == Outcome::Reset;
-        if broke || matches!(end.outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
-            self.breaks.add(now, if broke { 1.0 } else { 0.0 }, TALLY_SPAN);
-            s.breaks = if broke { s.breaks + 1 } else { 0 };
-        }
-        let dead = s.breaks >= BREAKS_MOST || common.powi(s.breaks as i32) < BREAK_CHANCE;
-        match end.outcome {
-            Outcome::Ok => {
-                let sample = end.elapsed as f64;
-                self.deviation += ((sample - self.latency).abs() - self.deviation) * LATENCY_GAIN / 2.0;
-                self.latency += (sample - self.latency) * LATENCY_GAIN / 2.0;
-                if s.latency < 2.0 * self.latency {
-                    self.times.add(now, sample, MEAN_SPAN);
-                }
-                s.latency += (sample - s.latency) * LATENCY_GAIN;
-                s.done.add(now, 1.0, DONE_SPAN);
-                s.answered = s.answered.max(sent);
-                (s.heard, s.strikes, s.ejected) = (now, 0, s.ejected.min(now));
-            }
-            // Danger: a server that fails fast looks idle and quick. It is alive, and no more.
-            Outcome::Error => s.heard = now,
-            // What broke has left the server too, and overload is judged by the rate at which requests leave.
-            Outcome::Reset if !dead => s.done.add(now, 1.0, DONE_SPAN),
-            Outcome::ConnectFailed | Outcome::Reset => self.eject(server),
-            Outcome::TimedOut | Outcome::Cancelled if quiet => self.eject(server),
-            _ => {}
+        let result = AttemptResult {
+            endpoint: server,
+            class: r.ask.class,
+            plan: r.ask.plan,
+            sent_at: a.sent,
+            outcome: end.outcome,
+            elapsed: end.elapsed,
+        };
+        let Some(recorded) = self.balancer.attempt_ended(&self.set, now, &result) else { return };
+        if let Some(elapsed) = recorded.typical_response_time {
+            self.load_shedder.record_response_time(now, elapsed);
         }
         if self.requests.get(&end.request).is_some_and(|r| r.answered) {
             return self.close(&end.request);
@@ -130,7 +97,7 @@
         let Some(r) = self.requests.get(id) else { return false };
         let class = &self.set.classes[r.ask.class];
         let fits = r.attempts < self.set.limits.max_attempts
-            && self.now + self.latency as Micros / 2 < r.ask.deadline
+            && self.now + self.balancer.latency as Micros / 2 < r.ask.deadline
             && !(r.answered || r.stream)
             && self.retries >= 1.0;
         // An attempt still out counts as one that may have run.
@@ -184,14 +151,13 @@
         let mut late = Vec::new();
         for (id, r) in &self.requests {
             let Some(a) = r.in_flight else { continue };
-            let silent = self.servers.get(a.server).is_some_and(|s| self.silent(s) || s.ejected > self.now);
-            let age = self.now.saturating_sub(a.sent) as f64;
-            if silent && age > self.latency_bound() && self.set.limits.cancel_allowed && self.may_resend(id) {
+            let stuck = self.balancer.is_stuck(a.server, a.sent, self.now);
+            if stuck && self.set.limits.cancel_allowed && self.may_resend(id) {
                 late.push((id.clone(), r.attempts - 1, a.server));
             }
         }
         for (id, attempt, server) in late {
-            self.eject(server);
+            self.balancer.eject(server, self.now);
             out.push(Action::CancelAttempt { request: id, attempt_number: attempt });
         }
     }
--- a/src/decision/balancer/endpoint_table.rs
+++ b/src/decision/balancer/endpoint_table.rs
@@ -4,8 +4,11 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use super::{Bucket, Rate, Tally, DONE_SPAN};
-use crate::decision::*;
+use crate::decision::estimators::{Bucket, Rate, Tally};
+use crate::decision::load_shedding::DONE_SPAN;
+use crate::decision::{
+    DeduplicationScope, EndpointEntry, EndpointId, EndpointState, Idempotency, Micros, RequestClass,
+};
 
 /// A list of up to so many servers is looked through whole for an attempt: some microseconds. Of a longer one
 /// it is the subset and, where nobody there is open, so many of the rest: the best of them is in the best
--- a/src/decision/deferral.rs
+++ b/src/decision/deferral.rs
@@ -12,7 +12,8 @@
         let Some(r) = self.requests.get(id) else { return };
         let Some(plan) = self.set.plans.get(r.ask.plan) else { return };
         // Where a try beyond quota earns more than it costs it is served, while there is room.
-        let roomy = self.expected() < self.set.classes[r.ask.class].latency_objective as f64 * SHED_CHEAPEST;
+        let roomy = self.load_shedder.expected(&self.set, &self.balancer, now)
+            < self.set.classes[r.ask.class].latency_objective as f64 * SHED_CHEAPEST;
         if plan.over_quota_weight > plan.over_quota_cost && plan.ceiling_units_per_second <= 0.0 && roomy {
             return self.launch(id, true, out);
         }
@@ -20,8 +21,9 @@
         let (rate, burst) = (plan.quota_units_per_second, plan.burst_units);
         let slots = (plan.max_in_flight as f64 / c.spread).max(1.0);
         let drawn = c.drawn.get(now, RATE_SPAN).max(rate / c.spread);
-        let x = if rate > 0.0 { r.ask.units / drawn * 1e6 } else { self.latency / slots };
-        let reach = if rate > 0.0 { burst / rate * 1e6 } else { self.latency * plan.max_in_flight as f64 };
+        let x = if rate > 0.0 { r.ask.units / drawn * 1e6 } else { self.balancer.latency / slots };
+        let reach =
+            if rate > 0.0 { burst / rate * 1e6 } else { self.balancer.latency * plan.max_in_flight as f64 };
         let reach = reach.min(self.set.limits.max_retry_after as f64);
         c.promises.retain(|&p| p > now);
         let most = ((reach / x.max(1.0)) as usize).min(PROMISES_MAX);
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -23,11 +23,10 @@
     CounterSettings, DeduplicationScope, Idempotency, Limits, Plan, RequestClass, Settings, WarmUp,
 };
 
-use attempts::{Request, LATENCY_START, RETRY_STORE};
-use balancer::endpoint_table::{Roster, Server, LOOKS};
-use balancer::{LOST, TALLY_SPAN};
+use attempts::{Request, RETRY_STORE};
+use balancer::{Balancer, TALLY_SPAN};
 use estimators::{mix, uniform, Bucket, Rate, Tally, GOLDEN};
-use load_shedding::{DONE_SPAN, HELD_GAIN, MEAN_SPAN, SHED_CHEAPEST, SHED_DEAREST};
+use load_shedding::{shortest_aim, LoadShedder, SHED_CHEAPEST, SHED_DEAREST};
 use quota::{dearest, Call, Customer, COUNTER_BACKOFF, GUESS_STORE, KEEP, LEASE_IDLE, RATE_SPAN};
 
 /// Housekeeping period: rescues, half-open servers, held requests, give-backs.
@@ -67,19 +66,8 @@
     parked: VecDeque<RequestId>,
     /// How long new tries of a class wait.
     patience: BTreeMap<usize, Micros>,
-    servers: Roster,
-    latency: f64,
-    deviation: f64,
-    /// What is out at servers that answer, smoothed.
-    held: f64,
-    /// How attempts ended over the fleet, by kind.
-    tally: BTreeMap<usize, Tally>,
-    /// The share of answers and breaks over the fleet that are breaks.
-    breaks: Tally,
-    times: Tally,
-    /// What a warm server of the subset was due here so far, in millionths of a request; the subset's warmth.
-    virtual_time: Micros,
-    subset_warmth: f64,
+    balancer: Balancer,
+    load_shedder: LoadShedder,
     retries: f64,
 }
 
@@ -90,11 +78,9 @@
             random: seed,
             counter_backoff: COUNTER_BACKOFF,
             ask_share: 1.0,
-            latency: LATENCY_START,
-            deviation: LATENCY_START / 2.0,
             retries: RETRY_STORE / 2.0,
             guesses: GUESS_STORE * dearest(&set),
-            servers: Roster::new(&set.classes),
+            balancer: Balancer::new(&set),
             set,
             ..DecisionEngine::default()
         }
@@ -105,6 +91,7 @@
         self.now = self.now.max(now);
         if self.begun.is_none() {
             self.begun = Some(now);
+            self.load_shedder.start(now);
             out.push(Action::SetTimer { id: 0, after: TICK });
         }
         match event {
@@ -128,19 +115,18 @@
 
     /// How many customers and app servers something is kept of.
     pub fn kept(&self) -> (usize, usize) {
-        (self.customers.len(), self.servers.ring.len() + self.servers.off.len())
+        (self.customers.len(), self.balancer.servers.ring.len() + self.balancer.servers.off.len())
     }
 
     /// Work since the start: looks at app servers, for requests and ticks, and list entries that differed.
     pub fn work(&self) -> (u64, u64) {
-        (self.servers.looked.get(), self.servers.touched)
+        (self.balancer.servers.looked.get(), self.balancer.servers.touched)
     }
 
     fn on_tick(&mut self, out: &mut Vec<Action>) {
         out.push(Action::SetTimer { id: 0, after: TICK });
         let now = self.now;
-        let held: usize = self.servers.met().filter(|s| self.answers(s)).map(|s| self.working(s)).sum();
-        self.held += (held as f64 - self.held) * HELD_GAIN;
+        self.load_shedder.on_tick(&self.balancer, now);
         for id in std::mem::take(&mut self.parked) {
             let Some(r) = self.requests.get(&id) else { continue };
             // Danger: what is turned away late has cost its client the time to go elsewhere.
@@ -154,8 +140,7 @@
             }
         }
         self.rescue(out);
-        let silent: Vec<_> = self.servers.met().filter(|s| self.silent(s)).map(|s| s.told.id).collect();
-        silent.into_iter().for_each(|key| self.eject(key));
+        self.balancer.eject_silent(now);
         if now >= self.swept + SWEEP {
             self.swept = now;
             self.hand_back(if self.ask_share > 0.5 { LEASE_IDLE } else { Micros::MAX }, out);
@@ -164,4 +149,17 @@
             self.expired.retain(|_, calls| known(calls));
         }
     }
+
+    fn on_members(&mut self, kind: EndpointUpdateKind, entries: Vec<EndpointEntry>, out: &mut Vec<Action>) {
+        let polls = self.set.polls_endpoint_list;
+        if kind == EndpointUpdateKind::StaleSnapshot || (kind == EndpointUpdateKind::WatchLost && polls) {
+            // Danger: an old list after a restart names dead servers and hides cold ones. Ask anew.
+            out.push(if polls { Action::WatchEndpoints } else { Action::FetchEndpoints });
+        }
+        if kind == EndpointUpdateKind::WatchLost {
+            return;
+        }
+        self.balancer.update(kind != EndpointUpdateKind::Delta, entries, self.now, &mut self.random);
+        self.forget();
+    }
 }
--- a/src/decision/quota/mod.rs
+++ b/src/decision/quota/mod.rs
@@ -113,12 +113,14 @@
             self.patience.insert(ask.class, ask.deadline.saturating_sub(now));
         }
         // Danger: a try that comes as its client gives up is overdue before any answer could come.
-        if let Some(over) = self.overloaded(&ask) {
+        if let Some(over) = self.load_shedder.overloaded(&self.set, &self.balancer, &ask, now) {
             let told = self.set.limits.retry_after_allowed && !ask.is_retry;
             let relief = over.clamp(TICK, self.set.limits.max_retry_after.max(TICK));
             return self.refuse(&id, if told { relief } else { 0 }, out);
         }
-        if ask.is_retry && self.hopeless(&ask) || now + TICK + self.latency as Micros / 4 > ask.deadline {
+        if ask.is_retry && self.hopeless(&ask)
+            || now + TICK + self.balancer.latency as Micros / 4 > ask.deadline
+        {
             return self.refuse(&id, 0, out);
         }
         let (attempts, in_flight, ran, answered, stream) = (0, None, None, false, false);
@@ -138,7 +140,9 @@
         let span = new.deadline.saturating_sub(self.now);
         let fresh = self.patience.get(&new.class).is_some_and(|&p| p.abs_diff(span) < p / 50);
         let gone = class.total_timeout.saturating_sub(span) as f64;
-        !fresh && class.late_weight < 0.5 && gone + self.latency / 2.0 > class.latency_objective as f64
+        !fresh
+            && class.late_weight < 0.5
+            && gone + self.balancer.latency / 2.0 > class.latency_objective as f64
     }
 
     fn counter_up(&self) -> bool {
@@ -156,7 +160,11 @@
             (r.ask.account, r.ask.units, self.set.classes[r.ask.class].priority_weight);
         // Slots are shared by what the other nodes' recent draws keep out, one slot at least.
         let (slots, drawn) = (plan.max_in_flight as f64, c.others.get(now, RATE_SPAN) / c.mean.max(0.1));
-        let away = if c.seen.is_some() { drawn * self.latency / 1e6 } else { slots * (1.0 - 1.0 / c.spread) };
+        let away = if c.seen.is_some() {
+            drawn * self.balancer.latency / 1e6
+        } else {
+            slots * (1.0 - 1.0 / c.spread)
+        };
         if plan.max_in_flight > 0 && c.open as f64 + away + 0.5 > slots.max(away + 1.5) {
             return Verdict::Beyond;
         }
@@ -184,7 +192,9 @@
         if up && c.seen.is_some() && left + c.lease - queued < units {
             return Verdict::Beyond;
         }
-        let crowd = (self.expected() / (self.shortest_aim() * SHED_DEAREST).max(1.0)).min(1.0);
+        let crowd = (self.load_shedder.expected(&self.set, &self.balancer, now)
+            / (shortest_aim(&self.set) * SHED_DEAREST).max(1.0))
+        .min(1.0);
         let Some(c) = self.customers.get_mut(&key) else { return Verdict::Beyond };
         // What is asked about is drawn by what a wrong guess would cost.
         let prior = self.looks.get(&c.plan).map_or(0.3, |t| t.mean(now, 0.3, TALLY_SPAN));
@@ -366,7 +376,7 @@
     /// must be full again and its lease is handed back: a new one is told the same by the counter.
     pub(super) fn forget(&mut self) {
         let now = self.now;
-        self.servers.forget(now);
+        self.balancer.servers.forget(now);
         let full = |c: &Customer| {
             let plan = self.set.plans.get(c.plan).filter(|p| p.quota_units_per_second > 0.0);
             plan.map_or(0, |p| (p.burst_units / p.quota_units_per_second * 1e6) as Micros).max(FORGET)
