--- a/src/main.rs
+++ b/src/main.rs
@@ -19,10 +19,12 @@
 
 use edge_node::net::counter::CounterClient;
 use edge_node::net::descriptor_budget::DescriptorBudget;
+use edge_node::net::discovery::endpoints::Places;
 use edge_node::net::discovery::parser::List;
 use edge_node::net::discovery::{Discovery, WatchSchedule};
 use edge_node::net::downstream::{DownstreamServer, Rules};
 use edge_node::net::event_loop::EventLoop;
+use edge_node::net::event_sink::EventSink;
 use edge_node::net::shutdown_schedule::ShutdownSchedule;
 use edge_node::net::upstream::Upstreams;
 
@@ -141,15 +143,16 @@
     let counter = CounterClient::new(counter.filter(|_| settings.counter.enabled), settings.counter.timeout);
     let pace = WatchSchedule::new(seed, settings.node_count, settings.polls_endpoint_list);
     let agent = !settings.polls_endpoint_list;
-    let discovery = Discovery::new(discovery, zones, kinds, pace);
+    let discovery = Discovery::new(discovery, servers.clone(), Places::new(zones, kinds), pace);
     let try_limit = settings.limits.max_attempts;
     let controller = DecisionEngine::new(seed, settings);
     let node = EventLoop::new(controller, try_limit, servers, counter.clone(), discovery.clone());
     let listener = listen(at).map_err(|e| StartError::Listen(at, e))?;
     eprintln!("edge-node: listening on {}", listener.local_addr().map_err(StartError::System)?);
-    discovery.start(&node, config.known);
-    counter.start(&node);
-    tokio::task::spawn_local(reload(hangup, path, node.clone(), discovery.clone(), counter.clone()));
+    let events: Rc<dyn EventSink> = node.clone();
+    discovery.start(&events, config.known);
+    counter.start(&events);
+    tokio::task::spawn_local(reload(hangup, path, events, discovery.clone(), counter.clone()));
     let clients = DownstreamServer::new(node.clone(), rules, budget.clone());
     // Where all nodes ask one discovery, their first calls are spread, and nobody waits for them.
     let told = async move {
@@ -166,7 +169,7 @@
     clients.close_idle();
     sleep_until(begun + timetable.deaf).await;
     clients.close_listener();
-    node.event(Event::ShutdownStarted);
+    node.send(Event::ShutdownStarted);
     clients.close_idle();
     let over = || accepting.is_finished() && !node.waited_for() && budget.clients() == 0 && counter.settled();
     while !over() && Instant::now() < begun + timetable.fail {
@@ -184,7 +187,7 @@
 async fn reload(
     mut hangup: Signal,
     path: String,
-    node: Rc<EventLoop>,
+    events: Rc<dyn EventSink>,
     discovery: Rc<Discovery>,
     counter: Rc<CounterClient>,
 ) {
@@ -195,8 +198,8 @@
         });
         match peers {
             Ok((at, counts)) => {
-                discovery.move_to(&node, at);
-                counter.move_to(&node, counts);
+                discovery.move_to(&events, at);
+                counter.move_to(&events, counts);
             }
             Err(error) => eprintln!("edge-node: the old configuration stays: {error}"),
         }
--- a/src/net/counter/mod.rs
+++ b/src/net/counter/mod.rs
@@ -13,7 +13,7 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant};
 
-use crate::net::event_loop::EventLoop;
+use crate::net::event_sink::EventSink;
 
 /// Connections: a slow part of the counter holds up only the names that share one with its own.
 const LINES: u64 = 4;
@@ -77,10 +77,10 @@
     }
 
     /// Makes a call; its outcome comes as an event.
-    pub fn add(&self, node: &Rc<EventLoop>, name: CounterKey, amount: f64, keep_for: Micros) {
+    pub fn add(&self, events: &dyn EventSink, name: CounterKey, amount: f64, keep_for: Micros) {
         let line = self.lines.borrow()[(name.0 % LINES) as usize].clone();
         if self.address.get().is_none() || !amount.is_finite() || line.queue.borrow().len() >= QUEUE_MOST {
-            return node.event(Event::CounterReplied {
+            return events.send(Event::CounterReplied {
                 key: name,
                 outcome: Outcome::ConnectFailed,
                 total: 0.0,
@@ -100,7 +100,7 @@
 
     /// Makes further calls at this address. Calls under way on the old one end there; what waits for a
     /// connection goes along.
-    pub fn move_to(&self, node: &Rc<EventLoop>, address: Option<SocketAddr>) {
+    pub fn move_to(&self, events: &Rc<dyn EventSink>, address: Option<SocketAddr>) {
         if self.address.replace(address) == address {
             return;
         }
@@ -115,17 +115,17 @@
             from.left.set(true);
             from.wake.notify_one();
         }
-        self.start(node);
-        let node = Teller { node: node.clone(), open: self.open.clone() };
+        self.start(events);
+        let node = Teller { events: events.clone(), open: self.open.clone() };
         stranded.into_iter().for_each(|call| node.tell(call.name, Outcome::ConnectFailed, 0.0));
     }
 
     /// Serves the calls from now on.
-    pub fn start(&self, node: &Rc<EventLoop>) {
+    pub fn start(&self, events: &Rc<dyn EventSink>) {
         let Some(address) = self.address.get() else { return };
         for line in self.lines.borrow().iter() {
             let (line, wait) = (line.clone(), self.wait);
-            let node = Teller { node: node.clone(), open: self.open.clone() };
+            let node = Teller { events: events.clone(), open: self.open.clone() };
             tokio::task::spawn_local(async move {
                 loop {
                     if line.queue.borrow().is_empty() {
@@ -150,19 +150,19 @@
 
 /// Tells the node how calls ended.
 struct Teller {
-    node: Rc<EventLoop>,
+    events: Rc<dyn EventSink>,
     open: Rc<Cell<usize>>,
 }
 
 impl Teller {
     fn tell(&self, name: CounterKey, outcome: Outcome, total: f64) {
         self.open.set(self.open.get() - 1);
-        self.node.event(Event::CounterReplied { key: name, outcome, total });
+        self.events.send(Event::CounterReplied { key: name, outcome, total });
     }
 
     /// Of a call that has been told as timed out.
     fn tell_late(&self, name: CounterKey, outcome: Outcome, total: f64) {
-        self.node.event(Event::LateCounterReply { key: name, outcome, total });
+        self.events.send(Event::LateCounterReply { key: name, outcome, total });
     }
 }
 
--- a/src/net/discovery/apply.rs
+++ b/src/net/discovery/apply.rs
@@ -8,9 +8,10 @@
 use tokio::sync::{watch, Mutex};
 use tokio::task::{spawn_blocking, spawn_local, yield_now, JoinError};
 
+use crate::net::discovery::directory::EndpointDirectory;
 use crate::net::discovery::endpoints::{Endpoints, Places, Renewed};
 use crate::net::discovery::parser::{Faults, List};
-use crate::net::event_loop::EventLoop;
+use crate::net::event_sink::EventSink;
 
 /// Texts up to this long are taken in on the spot. Danger: requests wait meanwhile, and a list of 46,000 app
 /// servers takes tens of milliseconds; longer ones are made ready on a thread of their own.
@@ -76,6 +77,7 @@
 
 /// Takes in lists, one at a time, and knows the version of what has been taken in.
 pub struct Intake {
+    directory: Rc<dyn EndpointDirectory>,
     places: Arc<Places>,
     /// The newest version taken in. Versions are an agent's own; none is known of a new one.
     version: Cell<Option<u64>>,
@@ -93,8 +95,9 @@
 
 impl Intake {
     /// Nothing is known yet.
-    pub fn new(places: Places) -> Rc<Self> {
+    pub fn new(directory: Rc<dyn EndpointDirectory>, places: Places) -> Rc<Self> {
         Rc::new(Intake {
+            directory,
             places: Arc::new(places),
             version: Cell::default(),
             epoch: Cell::default(),
@@ -152,14 +155,14 @@
     /// If the thread beside the requests fails.
     pub async fn take_in(
         self: &Rc<Self>,
-        node: &Rc<EventLoop>,
+        events: &Rc<dyn EventSink>,
         told: Told,
         kind: EndpointUpdateKind,
     ) -> Result<bool, JoinError> {
         let came = self.moment();
         if told.long {
             // Danger: a move ends the watch that has brought this list, and half of it would be taken in.
-            return spawn_local(self.clone().take_in_parts(node.clone(), told.list, kind, came)).await?;
+            return spawn_local(self.clone().take_in_parts(events.clone(), told.list, kind, came)).await?;
         }
         // Danger: the later parts of a long list would undo what came between two of them.
         if *self.telling.borrow() {
@@ -167,14 +170,14 @@
         }
         let current = !self.overtaken(came, told.list.version);
         if current {
-            self.take(node, &told.list, kind);
+            self.take(events.as_ref(), &told.list, kind);
         }
         Ok(current)
     }
 
     async fn take_in_parts(
         self: Rc<Self>,
-        node: Rc<EventLoop>,
+        events: Rc<dyn EventSink>,
         list: List,
         kind: EndpointUpdateKind,
         came: Moment,
@@ -182,20 +185,20 @@
         let _turn = self.turn.lock().await;
         let list = Arc::new(list);
         while !self.overtaken(came, list.version) {
-            let known = node.servers.endpoints();
+            let known = self.directory.endpoints();
             let update = {
                 let (list, known, places) = (list.clone(), known.clone(), self.places.clone());
                 spawn_blocking(move || Update::new(&known, &list, kind, &places)).await?
             };
             // Danger: what was made ready beside something else would undo what has come since.
-            if !node.servers.still(&known) || self.overtaken(came, list.version) {
+            if !self.directory.is_current(&known) || self.overtaken(came, list.version) {
                 let_go((known, update));
                 continue;
             }
             let version = list.version;
             list.faults().lines().chain(update.faults.lines()).for_each(log);
             let_go((list, known));
-            self.tell(&node, update, came.epoch, version).await;
+            self.tell(events.as_ref(), update, came.epoch, version).await;
             return Ok(true);
         }
         let_go(list);
@@ -203,15 +206,15 @@
     }
 
     /// Puts an update in the place of what was known, and tells the decisions of it in parts.
-    async fn tell(&self, node: &Rc<EventLoop>, update: Update, epoch: u64, version: u64) {
+    async fn tell(&self, events: &dyn EventSink, update: Update, epoch: u64, version: u64) {
         self.telling.send_replace(true);
-        node.servers.replace(update.endpoints, &update.stale);
+        self.directory.replace(update.endpoints, &update.stale);
         for entries in update.parts {
-            node.event(Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, entries });
+            events.send(Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, entries });
             // Requests that are ready go first, and what sockets have to say is read.
             yield_now().await;
         }
-        let_go(node.servers.replaced());
+        let_go(self.directory.finish_replacement());
         self.telling.send_replace(false);
         // Danger: the versions of a new agent have nothing to do with the old one's.
         self.end(if self.epoch.get() == epoch { Some(version) } else { self.version.get() });
@@ -219,28 +222,24 @@
     }
 
     /// Takes in a list on the spot.
-    pub fn take(&self, node: &Rc<EventLoop>, list: &List, kind: EndpointUpdateKind) {
+    pub fn take(&self, events: &dyn EventSink, list: &List, kind: EndpointUpdateKind) {
         list.faults().lines().for_each(log);
         let entries = if kind == EndpointUpdateKind::Delta {
-            let mut faults = Faults::default();
-            let entries = node.servers.change(|endpoints, stale| {
-                let entries = list.entries().iter();
-                entries.filter_map(|e| endpoints.change(e, &self.places, stale, &mut faults)).collect()
-            });
-            faults.lines().for_each(log);
-            entries
+            let applied = self.directory.apply_delta(list.entries(), &self.places);
+            applied.faults.lines().for_each(log);
+            applied.entries
         } else {
-            let made = made_ready(&node.servers.endpoints(), list, kind, &self.places);
+            let made = made_ready(&self.directory.endpoints(), list, kind, &self.places);
             made.faults.lines().for_each(log);
-            node.servers.replace(made.endpoints, &made.stale);
-            let before = node.servers.replaced();
+            self.directory.replace(made.endpoints, &made.stale);
+            let before = self.directory.finish_replacement();
             if before.as_ref().is_some_and(|before| before.len() > DIRECT_ENTRIES) {
                 let_go(before);
             }
             made.members
         };
         self.end(Some(list.version));
-        node.event(Event::EndpointsUpdated { kind, entries });
+        events.send(Event::EndpointsUpdated { kind, entries });
         if kind != EndpointUpdateKind::StaleSnapshot {
             self.hear();
         }
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -2,6 +2,7 @@
 
 pub mod apply;
 pub mod backoff;
+pub mod directory;
 pub mod endpoints;
 pub mod parser;
 
@@ -24,9 +25,10 @@
 
 use crate::net::discovery::apply::{Intake, Told};
 use crate::net::discovery::backoff::Backoff;
+use crate::net::discovery::directory::EndpointDirectory;
 use crate::net::discovery::endpoints::Places;
 use crate::net::discovery::parser::List;
-use crate::net::event_loop::EventLoop;
+use crate::net::event_sink::EventSink;
 use crate::net::http_client::Connection;
 
 /// How long a watch may wait, and how much later its answer counts as lost. Danger: a change counts as told
@@ -105,47 +107,51 @@
 }
 
 impl Discovery {
-    /// Discovery at this address, called at this pace. Zones and kinds are told by name and numbered as in the
-    /// settings.
-    pub fn new(address: SocketAddr, zones: Vec<String>, kinds: Vec<String>, pace: WatchSchedule) -> Rc<Self> {
+    /// Discovery at this address, called at this pace, whose lists go into this directory.
+    pub fn new(
+        address: SocketAddr,
+        directory: Rc<dyn EndpointDirectory>,
+        places: Places,
+        pace: WatchSchedule,
+    ) -> Rc<Self> {
         Rc::new(Discovery {
             pace: RefCell::new(pace),
             address: Cell::new(address),
-            intake: Intake::new(Places::new(zones, kinds)),
+            intake: Intake::new(directory, places),
             watcher: RefCell::default(),
         })
     }
 
     /// Takes in the list that the node had before its start, and watches from there on for ever. With a list to
     /// go by, the first call is staggered.
-    pub fn start(self: &Rc<Self>, node: &Rc<EventLoop>, known: List) {
+    pub fn start(self: &Rc<Self>, events: &Rc<dyn EventSink>, known: List) {
         let stagger = if known.is_empty() { Duration::ZERO } else { self.pace.borrow_mut().first_call() };
         // On the spot, however long: nobody waits yet.
-        self.intake.take(node, &known, EndpointUpdateKind::StaleSnapshot);
-        self.spawn(node, stagger);
+        self.intake.take(events.as_ref(), &known, EndpointUpdateKind::StaleSnapshot);
+        self.spawn(events, stagger);
     }
 
     /// Goes on with the agent at this address. Danger: its versions have nothing to do with the old one's, so
     /// it is asked for the whole list first, and what the old one still says is dropped with its watch.
-    pub fn move_to(self: &Rc<Self>, node: &Rc<EventLoop>, address: SocketAddr) {
+    pub fn move_to(self: &Rc<Self>, events: &Rc<dyn EventSink>, address: SocketAddr) {
         if self.address.replace(address) != address {
             self.intake.moved();
-            self.spawn(node, Duration::ZERO);
+            self.spawn(events, Duration::ZERO);
         }
     }
 
-    fn spawn(self: &Rc<Self>, node: &Rc<EventLoop>, after: Duration) {
-        let (discovery, node) = (self.clone(), node.clone());
+    fn spawn(self: &Rc<Self>, events: &Rc<dyn EventSink>, after: Duration) {
+        let (discovery, events) = (self.clone(), events.clone());
         let task = tokio::task::spawn_local(async move {
             tokio::time::sleep(after).await;
-            discovery.watch(&node).await;
+            discovery.watch(&events).await;
         });
         if let Some(old) = self.watcher.replace(Some(task.abort_handle())) {
             old.abort();
         }
     }
 
-    async fn watch(&self, node: &Rc<EventLoop>) {
+    async fn watch(&self, events: &Rc<dyn EventSink>) {
         let (mut connection, mut failing) = (None, false);
         loop {
             let (path, wait) = match self.intake.version() {
@@ -154,7 +160,7 @@
             };
             let begun = Instant::now();
             let heeded = match self.get(&mut connection, &path, wait).await {
-                Ok(told) => self.heed(node, told).await,
+                Ok(told) => self.heed(events, told).await,
                 Err(failure) => Err(failure),
             };
             match heeded {
@@ -180,7 +186,7 @@
     }
 
     /// Takes in what a watch was told, if it is news.
-    async fn heed(&self, node: &Rc<EventLoop>, told: Told) -> Result<bool, Failure> {
+    async fn heed(&self, events: &Rc<dyn EventSink>, told: Told) -> Result<bool, Failure> {
         let list = &told.list;
         let (version, known) = (list.version, self.intake.version());
         let nothing = list.is_empty() && !list.snapshot && known.is_some();
@@ -191,7 +197,7 @@
         };
         // Danger: a fetch may have brought a newer list meanwhile; older changes would undo it.
         let old = kind == EndpointUpdateKind::Delta && Some(version) < known;
-        if !nothing && !old && self.take_in(node, told, kind).await? {
+        if !nothing && !old && self.take_in(events, told, kind).await? {
             return Ok(true);
         }
         // A version that brings no change is still the one to go on from.
@@ -201,16 +207,16 @@
 
     async fn take_in(
         &self,
-        node: &Rc<EventLoop>,
+        events: &Rc<dyn EventSink>,
         told: Told,
         kind: EndpointUpdateKind,
     ) -> Result<bool, Failure> {
-        self.intake.take_in(node, told, kind).await.map_err(|_| Failure::Broken)
+        self.intake.take_in(events, told, kind).await.map_err(|_| Failure::Broken)
     }
 
     /// Fetches the whole list once.
-    pub fn fetch(self: &Rc<Self>, node: &Rc<EventLoop>) {
-        let (discovery, node, epoch) = (self.clone(), node.clone(), self.intake.epoch());
+    pub fn fetch(self: &Rc<Self>, events: Rc<dyn EventSink>) {
+        let (discovery, epoch) = (self.clone(), self.intake.epoch());
         tokio::task::spawn_local(async move {
             let answer = discovery.get(&mut None, "/discovery/hosts", FETCH_WAIT).await;
             // The new agent is asked for its whole list anyway. Danger: the same address after two moves.
@@ -219,14 +225,14 @@
                 Ok(_) if moved() => return,
                 // The watch may have brought something newer meanwhile.
                 Ok(told) if Some(told.list.version) >= discovery.intake.version() => {
-                    discovery.take_in(&node, told, EndpointUpdateKind::Snapshot).await.err()
+                    discovery.take_in(&events, told, EndpointUpdateKind::Snapshot).await.err()
                 }
                 Ok(_) => None,
                 Err(failure) => Some(failure),
             };
             if let Some(failure) = failure.filter(|_| !moved()) {
                 eprintln!("edge-node: discovery: {failure}; the watch goes on");
-                node.event(Event::EndpointsUpdated {
+                events.send(Event::EndpointsUpdated {
                     kind: EndpointUpdateKind::WatchLost,
                     entries: Vec::new(),
                 });
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -3,7 +3,7 @@
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
-use std::rc::Rc;
+use std::rc::{Rc, Weak};
 use std::time::Duration;
 
 use crate::decision::DecisionEngine;
@@ -16,6 +16,7 @@
 use crate::net::clock::Clock;
 use crate::net::counter::CounterClient;
 use crate::net::discovery::Discovery;
+use crate::net::event_sink::EventSink;
 use crate::net::upstream::{Forward, Upstreams};
 
 /// Attempts are given up this long before the client gives up, so that the answer still reaches it.
@@ -53,6 +54,8 @@
 
 /// One edge node.
 pub struct EventLoop {
+    /// Itself, for the tasks that it starts.
+    own: Weak<EventLoop>,
     /// The node's clock.
     pub clock: Clock,
     /// The app servers.
@@ -81,7 +84,8 @@
         counter: Rc<CounterClient>,
         discovery: Rc<Discovery>,
     ) -> Rc<Self> {
-        Rc::new(EventLoop {
+        Rc::new_cyclic(|own| EventLoop {
+            own: own.clone(),
             clock: Clock::start(),
             servers,
             counter,
@@ -112,72 +116,52 @@
     }
 
     /// The last moment of a planned stop: what is still unanswered has failed, and so has what still comes.
-    pub fn fail_all(self: &Rc<Self>) {
+    pub fn fail_all(&self) {
         self.over.set(true);
         let left: Vec<_> = self.open.borrow().keys().cloned().collect();
         for id in left {
             let waited = self.open.borrow_mut().get_mut(&id).and_then(|o| o.answer.take());
             if let Some(sender) = waited {
                 let _ = sender.send(Answer::Failed);
-                self.event(Event::ClientDisconnected { request: id.clone() });
+                self.send(Event::ClientDisconnected { request: id.clone() });
                 self.call_back(&id);
             }
         }
     }
 
-    /// Hands an event to the decisions and carries out what they say. Danger: actions may cause events at
-    /// once; these wait until the actions of the earlier event are all done, or the decisions would be
-    /// entered twice.
-    pub fn event(self: &Rc<Self>, event: Event) {
-        self.events.borrow_mut().push_back(event);
-        if self.busy.replace(true) {
-            return;
-        }
-        let mut actions = Vec::new();
-        loop {
-            let Some(event) = self.events.borrow_mut().pop_front() else { break };
-            let over = match &event {
-                Event::AttemptEnded(e) => Some(e.request.clone()),
-                Event::ClientDisconnected { request: id } => Some(id.clone()),
-                _ => None,
-            };
-            self.controller.borrow_mut().handle(self.clock.now(), event, &mut actions);
-            for action in actions.drain(..) {
-                self.perform(action);
-            }
-            if let Some(id) = over {
-                self.forget(&id);
-            }
-        }
-        self.busy.set(false);
+    /// The shared handle of this event loop. It is only ever created behind one.
+    fn own(&self) -> Rc<Self> {
+        self.own.upgrade().expect("an event loop in use is held by its handle")
     }
 
-    fn perform(self: &Rc<Self>, action: Action) {
+    fn perform(&self, action: Action) {
         match action {
-            Action::StartAttempt { request: id, endpoint: server, timeout } => self.send(id, server, timeout),
+            Action::StartAttempt { request: id, endpoint: server, timeout } => {
+                self.start_attempt(id, server, timeout)
+            }
             Action::Reject { request: id, retry_after } => self.finish(&id, Answer::Refused(retry_after)),
             Action::Fail { request: id } => self.finish(&id, Answer::Failed),
             Action::CancelAttempt { request: id, attempt_number: attempt } => {
                 self.end(&id, attempt as usize, Outcome::Cancelled, None)
             }
             Action::ProbeEndpoint { endpoint: server } => {
-                let node = self.clone();
+                let node = self.own();
                 tokio::task::spawn_local(async move {
                     let outcome = node.servers.probe(server).await;
-                    node.event(Event::ProbeCompleted { endpoint: server, outcome });
+                    node.send(Event::ProbeCompleted { endpoint: server, outcome });
                 });
             }
             Action::IncrementCounter { key: name, amount, keep_for } => {
                 self.counter.add(self, name, amount, keep_for)
             }
             Action::SetTimer { id, after } => {
-                let node = self.clone();
+                let node = self.own();
                 tokio::task::spawn_local(async move {
                     tokio::time::sleep(Duration::from_micros(after)).await;
-                    node.event(Event::TimerFired { id });
+                    node.send(Event::TimerFired { id });
                 });
             }
-            Action::FetchEndpoints => self.discovery.fetch(self),
+            Action::FetchEndpoints => self.discovery.fetch(self.own()),
             // The list is watched from the start on.
             Action::WatchEndpoints => {}
         }
@@ -186,7 +170,7 @@
     /// Takes a request; its answer comes through the receiver. Danger: an id that is still in work must not
     /// be entered again, or a request that may not run twice would.
     pub fn take(
-        self: &Rc<Self>,
+        &self,
         request: NewRequest,
         forward: Forward,
     ) -> Result<oneshot::Receiver<Answer>, Duplicate> {
@@ -206,7 +190,7 @@
             std::collections::btree_map::Entry::Occupied(_) => return Err(Duplicate),
             std::collections::btree_map::Entry::Vacant(place) => place.insert(open),
         };
-        self.event(Event::RequestReceived(request));
+        self.send(Event::RequestReceived(request));
         Ok(receiver)
     }
 
@@ -216,17 +200,17 @@
     }
 
     /// Nobody waits for this request any more: its client has gone, or it has just been told that it failed.
-    pub fn gone(self: &Rc<Self>, id: &RequestId) {
+    pub fn gone(&self, id: &RequestId) {
         let waited = self.open.borrow_mut().get_mut(id).and_then(|o| o.answer.take());
         if waited.is_some() {
-            self.event(Event::ClientDisconnected { request: id.clone() });
+            self.send(Event::ClientDisconnected { request: id.clone() });
             self.call_back(id);
         }
     }
 
     /// Ends the attempts that still wait for a connection or a descriptor. Danger: these come up at any later
     /// time, as clients leave at the end of a stop, too, and what nobody waits for would be sent then.
-    fn call_back(self: &Rc<Self>, id: &RequestId) {
+    fn call_back(&self, id: &RequestId) {
         let open = self.open.borrow();
         let attempts = open.get(id).into_iter().flat_map(|o| o.attempts.iter().enumerate());
         let unsent = attempts.filter(|(_, a)| a.task.is_some() && !a.begun.get()).map(|(number, _)| number);
@@ -251,7 +235,7 @@
         }
     }
 
-    fn send(self: &Rc<Self>, id: RequestId, server: EndpointId, timeout: Micros) {
+    fn start_attempt(&self, id: RequestId, server: EndpointId, timeout: Micros) {
         let now = self.clock.now();
         let mut requests = self.open.borrow_mut();
         let Some(open) = requests.get_mut(&id) else {
@@ -266,7 +250,7 @@
             drop(requests);
             let outcome = Outcome::NotSent;
             let attempt = number as u32;
-            return self.event(Event::AttemptEnded(EndedAttempt {
+            return self.send(Event::AttemptEnded(EndedAttempt {
                 request: id,
                 attempt_number: attempt,
                 endpoint: server,
@@ -277,7 +261,7 @@
             }));
         }
         let stop = if timeout > 0 { open.stop.min(now + timeout) } else { open.stop };
-        let (node, forward, begun) = (self.clone(), open.forward.clone(), attempt.begun.clone());
+        let (node, forward, begun) = (self.own(), open.forward.clone(), attempt.begun.clone());
         let key = id.clone();
         let task = tokio::task::spawn_local(async move {
             let (outcome, body) = node.servers.attempt(&node.clock, server, &forward, stop, &begun).await;
@@ -288,7 +272,7 @@
     }
 
     /// An attempt is over; a second end of the same one is dropped. With a body, it has served the request.
-    fn end(self: &Rc<Self>, id: &RequestId, number: usize, outcome: Outcome, body: Option<Bytes>) {
+    fn end(&self, id: &RequestId, number: usize, outcome: Outcome, body: Option<Bytes>) {
         let mut requests = self.open.borrow_mut();
         let Some(open) = requests.get_mut(id) else { return };
         let Some(attempt) = open.attempts.get_mut(number) else { return };
@@ -306,7 +290,7 @@
         let finished = open.answer.is_none();
         drop(requests);
         let attempt = number as u32;
-        self.event(Event::AttemptEnded(EndedAttempt {
+        self.send(Event::AttemptEnded(EndedAttempt {
             request: id.clone(),
             attempt_number: attempt,
             endpoint: server,
@@ -317,3 +301,31 @@
         }));
     }
 }
+
+impl EventSink for EventLoop {
+    /// Actions may cause events at once; these wait until the actions of the earlier event are all done, or the
+    /// decisions would be entered twice.
+    fn send(&self, event: Event) {
+        self.events.borrow_mut().push_back(event);
+        if self.busy.replace(true) {
+            return;
+        }
+        let mut actions = Vec::new();
+        loop {
+            let Some(event) = self.events.borrow_mut().pop_front() else { break };
+            let over = match &event {
+                Event::AttemptEnded(e) => Some(e.request.clone()),
+                Event::ClientDisconnected { request: id } => Some(id.clone()),
+                _ => None,
+            };
+            self.controller.borrow_mut().handle(self.clock.now(), event, &mut actions);
+            for action in actions.drain(..) {
+                self.perform(action);
+            }
+            if let Some(id) = over {
+                self.forget(&id);
+            }
+        }
+        self.busy.set(false);
+    }
+}
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -18,7 +18,9 @@
 
 use crate::net::clock::Clock;
 use crate::net::descriptor_budget::{DescriptorBudget, DescriptorPermit};
-use crate::net::discovery::endpoints::{Endpoint, Endpoints};
+use crate::net::discovery::directory::{AppliedDelta, EndpointDirectory};
+use crate::net::discovery::endpoints::{Endpoint, Endpoints, Places};
+use crate::net::discovery::parser::{Entry, Faults};
 use crate::net::http_client::{framed, whole, BadBody, Broken, Connection};
 use crate::net::upstream::reuse::Reuse;
 
@@ -165,37 +167,11 @@
         idle < self.keep && self.reuse.allows(idle) && kept.connection.usable()
     }
 
-    /// What is known of them.
-    pub fn endpoints(&self) -> Arc<Endpoints> {
-        self.known.borrow().now.clone()
-    }
-
-    /// Whether nothing has been taken in since these were read off.
-    pub fn still(&self, endpoints: &Arc<Endpoints>) -> bool {
-        Arc::ptr_eq(&self.known.borrow().now, endpoints)
-    }
-
     /// Whether what was known before can still be reached.
     pub fn replacing(&self) -> bool {
         self.known.borrow().before.is_some()
     }
 
-    /// Takes in changes. These are told what has changed, and add the app servers whose connections may lead
-    /// elsewhere now.
-    pub fn change<T>(&self, changes: impl FnOnce(&mut Endpoints, &mut Vec<EndpointId>) -> T) -> T {
-        let mut known = self.known.borrow_mut();
-        let mut stale = Vec::new();
-        let told = changes(Arc::make_mut(&mut known.now), &mut stale);
-        self.let_go(&stale);
-        let pools = self.pools.borrow();
-        for (&server, pool) in pools.iter() {
-            if known.open(server).is_none() {
-                pool.idle.borrow_mut().clear();
-            }
-        }
-        told
-    }
-
     /// Keeps no connection of these, also none that is in use.
     fn let_go(&self, stale: &[EndpointId]) {
         let mut pools = self.pools.borrow_mut();
@@ -204,25 +180,6 @@
         }
     }
 
-    /// Puts this in the place of what was known, which can still be reached where it is not named any more, until
-    /// `replaced`. Only app servers with connections are looked at; those of the stale ones are not kept.
-    pub fn replace(&self, endpoints: Endpoints, stale: &[EndpointId]) {
-        self.let_go(stale);
-        let mut known = self.known.borrow_mut();
-        let before = std::mem::replace(&mut known.now, Arc::new(endpoints));
-        known.before = Some(before);
-        self.keep_own(&known);
-    }
-
-    /// What was known before cannot be reached any more; it is handed back.
-    #[must_use = "dropping a long one takes a while"]
-    pub fn replaced(&self) -> Option<Arc<Endpoints>> {
-        let mut known = self.known.borrow_mut();
-        let before = known.before.take();
-        self.keep_own(&known);
-        before
-    }
-
     /// Keeps the connections that lead to app servers which are known.
     fn keep_own(&self, known: &Known) {
         self.pools.borrow_mut().retain(|&server, pool| {
@@ -426,6 +383,49 @@
     }
 }
 
+impl EndpointDirectory for Upstreams {
+    fn endpoints(&self) -> Arc<Endpoints> {
+        self.known.borrow().now.clone()
+    }
+
+    fn is_current(&self, endpoints: &Arc<Endpoints>) -> bool {
+        Arc::ptr_eq(&self.known.borrow().now, endpoints)
+    }
+
+    fn apply_delta(&self, entries: &[Entry], places: &Places) -> AppliedDelta {
+        let mut known = self.known.borrow_mut();
+        let endpoints = Arc::make_mut(&mut known.now);
+        let mut stale = Vec::new();
+        let mut faults = Faults::default();
+        let changed =
+            entries.iter().filter_map(|entry| endpoints.change(entry, places, &mut stale, &mut faults));
+        let entries = changed.collect();
+        self.let_go(&stale);
+        let pools = self.pools.borrow();
+        for (&server, pool) in pools.iter() {
+            if known.open(server).is_none() {
+                pool.idle.borrow_mut().clear();
+            }
+        }
+        AppliedDelta { entries, faults }
+    }
+
+    fn replace(&self, endpoints: Endpoints, stale: &[EndpointId]) {
+        self.let_go(stale);
+        let mut known = self.known.borrow_mut();
+        let before = std::mem::replace(&mut known.now, Arc::new(endpoints));
+        known.before = Some(before);
+        self.keep_own(&known);
+    }
+
+    fn finish_replacement(&self) -> Option<Arc<Endpoints>> {
+        let mut known = self.known.borrow_mut();
+        let before = known.before.take();
+        self.keep_own(&known);
+        before
+    }
+}
+
 fn host_header(address: SocketAddr) -> HeaderValue {
     HeaderValue::from_str(&address.to_string()).unwrap_or(HeaderValue::from_static("localhost"))
 }
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -13,10 +13,12 @@
 use edge_node::net::counter::CounterClient;
 use edge_node::net::descriptor_budget::DescriptorBudget;
 use edge_node::net::discovery::apply::{parts, Intake, Told, PART};
+use edge_node::net::discovery::directory::EndpointDirectory;
 use edge_node::net::discovery::endpoints::{number, Difference, Endpoints, Places, Renewed};
 use edge_node::net::discovery::parser::{Faults, List, FAULTS_TOLD};
 use edge_node::net::discovery::{Discovery, WatchSchedule, LIST_MOST};
 use edge_node::net::event_loop::EventLoop;
+use edge_node::net::event_sink::EventSink;
 use edge_node::net::upstream::{Forward, Upstreams};
 use edge_node::protocol::simulator::SettingsDocument;
 use fakes::*;
@@ -436,13 +438,18 @@
     let env: SettingsDocument = serde_json::from_value(settings()).expect("settings");
     let settings = Settings::from(env);
     let pace = WatchSchedule::new(1, settings.node_count, false);
-    let discovery = Discovery::new(agent.address, vec!["a".into()], vec!["m1".into()], pace);
     let servers = Upstreams::new(DescriptorBudget::new(64), 0, 0);
+    let discovery = Discovery::new(agent.address, servers.clone(), places(), pace);
     let counter = CounterClient::new(None, settings.counter.timeout);
     let node = EventLoop::new(DecisionEngine::new(1, settings), 4, servers, counter, discovery.clone());
     (node, discovery)
 }
 
+/// The node as a receiver of events.
+fn events(node: &Rc<EventLoop>) -> Rc<dyn EventSink> {
+    node.clone()
+}
+
 /// A call that has come by now.
 fn arrived(agent: &App) -> Option<Seen> {
     agent.poll_once()
@@ -473,15 +480,15 @@
     let text = with_length(&long(9, &agent));
     on_one_thread(async {
         let (node, discovery) = in_process(&agent);
-        discovery.start(&node, List::default());
+        discovery.start(&events(&node), List::default());
         until(|| arrived(&agent).filter(|seen| seen.message.first.contains("after=0&"))).await;
-        discovery.fetch(&node);
+        discovery.fetch(node.clone());
         let fetch = until(|| arrived(&agent).filter(|seen| !seen.message.first.contains("after="))).await;
         let known = Arc::downgrade(&node.servers.endpoints());
         let sent = std::thread::spawn(move || fetch.spoil(text.as_bytes()));
         // Whoever makes a list ready holds on to what it is made ready beside.
         until(|| (known.strong_count() > 1).then_some(())).await;
-        discovery.move_to(&node, other.address);
+        discovery.move_to(&events(&node), other.address);
         until(|| (known.strong_count() <= 1).then_some(())).await;
         assert!(node.servers.endpoints().is_empty(), "what the old agent told was taken in after the move");
         let new = list(3, &[numbered(1, "up")]).to_string();
@@ -506,15 +513,13 @@
     let text = with_length(&json!({"index": 2, "snapshot": false, "endpoints": entries}).to_string());
     on_one_thread(async {
         let (node, discovery) = in_process(&agent);
-        discovery.start(&node, List::default());
+        discovery.start(&events(&node), List::default());
         let watch = until(|| arrived(&agent).filter(|seen| seen.message.first.contains("after=0&"))).await;
         let known = Arc::downgrade(&node.servers.endpoints());
         let sent = std::thread::spawn(move || watch.spoil(text.as_bytes()));
         until(|| (known.strong_count() > 1).then_some(())).await;
         let late = read(&[numbered(MANY, "up")]);
-        node.servers.change(|endpoints, stale| {
-            endpoints.change(&late.entries()[0], &places(), stale, &mut Faults::default());
-        });
+        node.servers.apply_delta(late.entries(), &places());
         until(|| arrived(&agent).filter(|seen| seen.message.first.contains("after=2&"))).await;
         sent.join().expect("sent");
         let endpoints = node.servers.endpoints();
@@ -620,7 +625,7 @@
     let texts = [many(2, 0, &first, &known), many(3, SOME, &second, &next)];
     on_one_thread(async {
         let (node, discovery) = in_process(&agent);
-        discovery.start(&node, List::default());
+        discovery.start(&events(&node), List::default());
         halfway(&node, &agent, 0, &texts[0]).await;
         to_the_end(&node).await;
         // One gets a connection that is kept.
@@ -643,7 +648,7 @@
     let (agent, app) = (App::new(), App::new());
     on_one_thread(async {
         let (node, discovery) = in_process(&agent);
-        discovery.start(&node, List::default());
+        discovery.start(&events(&node), List::default());
         for (from, to, first, delta) in [(0, 2, 0, SOME), (2, 3, SOME, 2 * SOME)] {
             halfway(&node, &agent, from, &many(to, first, &app, &[])).await;
             assert!(to_the_end(&node).await + 1 >= delta.div_ceil(PART));
@@ -668,9 +673,9 @@
     let text = many(9, 0, &app, &[]);
     on_one_thread(async {
         let (node, discovery) = in_process(&agent);
-        discovery.start(&node, List::default());
+        discovery.start(&events(&node), List::default());
         halfway(&node, &agent, 0, &text).await;
-        discovery.move_to(&node, other.address);
+        discovery.move_to(&events(&node), other.address);
         let call = next_call(&other).await;
         assert!(node.servers.replacing(), "moved between two parts");
         to_the_end(&node).await;
@@ -696,10 +701,10 @@
         };
         on_one_thread(async {
             let (node, discovery) = in_process(&agent);
-            discovery.start(&node, List::default());
+            discovery.start(&events(&node), List::default());
             until(|| arrived(&agent).filter(|seen| !seen.message.first.contains("after="))).await;
             halfway(&node, &agent, 0, &text).await;
-            discovery.fetch(&node);
+            discovery.fetch(node.clone());
             send(next_call(&agent).await, &other);
             turns().await;
             assert!(node.servers.replacing(), "told between two parts");
@@ -723,12 +728,12 @@
 fn of_two_long_lists_the_second_is_not_put_in_place_before_the_decisions_know_all_of_the_first() {
     on_one_thread(async {
         let (node, _) = in_process(&App::new());
-        let intake = Intake::new(places());
+        let intake = Intake::new(node.servers.clone(), places());
         let take_in = |from: usize| {
             let list = read(&(from..from + SOME).map(|n| numbered(n, "up")).collect::<Vec<_>>());
-            let (intake, node, told) = (intake.clone(), node.clone(), Told { list, long: true });
+            let (intake, events, told) = (intake.clone(), events(&node), Told { list, long: true });
             tokio::task::spawn_local(async move {
-                intake.take_in(&node, told, EndpointUpdateKind::Snapshot).await
+                intake.take_in(&events, told, EndpointUpdateKind::Snapshot).await
             })
         };
         let first = take_in(0);
