--- a/src/main.rs
+++ b/src/main.rs
@@ -157,26 +157,31 @@
     // Where all nodes ask one discovery, their first calls are spread, and nobody waits for them.
     let told = async move {
         if agent {
-            discovery.told().await;
+            discovery.first_snapshot_received().await;
         }
     };
     let accepting = tokio::task::spawn_local(clients.clone().accept(listener, told));
 
     either(&mut terminate, &mut interrupt).await;
     let begun = Instant::now();
-    node.stop();
-    sleep_until(begun + timetable.idle).await;
+    node.start_shutdown();
+    sleep_until(begun + timetable.close_idle_at).await;
     clients.close_idle();
-    sleep_until(begun + timetable.deaf).await;
+    sleep_until(begun + timetable.close_listener_at).await;
     clients.close_listener();
     node.send(Event::ShutdownStarted);
     clients.close_idle();
-    let over = || accepting.is_finished() && !node.waited_for() && budget.clients() == 0 && counter.settled();
-    while !over() && Instant::now() < begun + timetable.fail {
+    let over = || {
+        accepting.is_finished()
+            && !node.has_waiting_clients()
+            && budget.downstream_connections() == 0
+            && counter.is_settled()
+    };
+    while !over() && Instant::now() < begun + timetable.fail_requests_at {
         sleep(LAST_LOOKS).await;
     }
-    node.fail_all();
-    while !over() && Instant::now() < begun + timetable.end {
+    node.fail_open_requests();
+    while !over() && Instant::now() < begun + timetable.exit_at {
         sleep(LAST_LOOKS).await;
     }
     Ok(())
--- a/src/net/counter/mod.rs
+++ b/src/net/counter/mod.rs
@@ -94,7 +94,7 @@
     }
 
     /// Whether the outcome of every call has been told.
-    pub fn settled(&self) -> bool {
+    pub fn is_settled(&self) -> bool {
         self.open.get() == 0
     }
 
--- a/src/net/descriptor_budget.rs
+++ b/src/net/descriptor_budget.rs
@@ -10,7 +10,7 @@
 use tokio::time::timeout;
 
 /// Descriptors kept back for the listener, discovery, the counter, the runtime and the standard streams.
-pub const KEPT_BACK: usize = 24;
+pub const RESERVED_DESCRIPTORS: usize = 24;
 /// The share of the slots that clients may hold: every request in work needs one on either side.
 const CLIENT_SHARE: f64 = 0.6;
 /// How long a connection that is told to close has for it before the next one is told so.
@@ -42,7 +42,7 @@
 impl DescriptorBudget {
     /// A budget for a process that may hold `descriptors`.
     pub fn new(descriptors: usize) -> Rc<Self> {
-        let most = descriptors.saturating_sub(KEPT_BACK).max(4);
+        let most = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(4);
         Rc::new(DescriptorBudget {
             most,
             for_clients: ((most as f64 * CLIENT_SHARE) as usize).max(2),
@@ -56,18 +56,18 @@
     }
 
     /// A slot for a client's connection, if one is free.
-    pub fn for_client(self: &Rc<Self>) -> Option<DescriptorPermit> {
+    pub fn try_acquire_downstream(self: &Rc<Self>) -> Option<DescriptorPermit> {
         (self.clients.get() < self.for_clients).then(|| self.take(true)).flatten()
     }
 
     /// A slot for a connection to an app server, if one is free.
-    pub fn for_server(self: &Rc<Self>) -> Option<DescriptorPermit> {
+    pub fn try_acquire_upstream(self: &Rc<Self>) -> Option<DescriptorPermit> {
         self.take(false)
     }
 
     /// A slot for a client's connection beyond all bounds, out of what is kept back: for what the machine has
     /// accepted when the listener closes, which nobody else will answer.
-    pub fn beyond(self: &Rc<Self>) -> DescriptorPermit {
+    pub fn acquire_beyond_limit(self: &Rc<Self>) -> DescriptorPermit {
         self.give(true)
     }
 
@@ -82,14 +82,14 @@
     }
 
     /// Whether the whole is used up, and not just the clients' part.
-    pub fn exhausted(&self) -> bool {
+    pub fn is_exhausted(&self) -> bool {
         self.used.get() >= self.most
     }
 
     /// Waits for a slot, closing one connection after the other to free it. Danger: waiting for freed slots
     /// alone, new clients starve while those with slots stand idle; and what is told to close takes a moment,
     /// in which nothing else must be closed in its stead.
-    pub async fn room(
+    pub async fn acquire_or_evict(
         &self,
         take: impl Fn() -> Option<DescriptorPermit>,
         close_one: impl Fn() -> bool,
@@ -119,39 +119,39 @@
     }
 
     /// A connection to an app server has fallen idle.
-    pub fn ease(&self) {
+    pub fn notify_waiters(&self) {
         self.eased.notify_waiters();
     }
 
     /// A client's connection stands idle; it may be told to close. The ticket takes that back.
-    pub fn idle(&self, close: Rc<Notify>, used: bool) -> IdleRegistration {
+    pub fn register_idle(&self, close: Rc<Notify>, used: bool) -> IdleRegistration {
         let ticket = (used, self.tickets.get());
         self.tickets.set(ticket.1 + 1);
         self.idle.borrow_mut().insert(ticket, close);
-        self.ease();
+        self.notify_waiters();
         ticket
     }
 
     /// The connection with this ticket is in use, or gone.
-    pub fn busy(&self, ticket: IdleRegistration) {
+    pub fn unregister_idle(&self, ticket: IdleRegistration) {
         self.idle.borrow_mut().remove(&ticket);
     }
 
     /// A client has connected.
-    pub fn fresh(&self) {
+    pub fn connection_opened(&self) {
         self.fresh.set(self.fresh.get() + 1);
     }
 
     /// Whether a new connection has a request or stays silent is known by now.
-    pub fn matured(&self) {
+    pub fn connection_classified(&self) {
         self.fresh.set(self.fresh.get() - 1);
-        self.ease();
+        self.notify_waiters();
     }
 
     /// Tells a client's connection to close: the first that has stayed silent from its start, else the one
     /// that has been idle for longest. Danger: a flood of silent connections would push out those in use; while
     /// half of all are too new to tell, these are waited for. With fewer, waiting would keep out the others.
-    pub fn close_an_idle_client(&self) -> bool {
+    pub fn close_idle_downstream(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let flood = self.fresh.get() * 2 >= self.for_clients;
         let first = idle.first_entry().filter(|first| !first.key().0 || !flood);
@@ -163,7 +163,7 @@
     }
 
     /// How many clients are connected.
-    pub fn clients(&self) -> usize {
+    pub fn downstream_connections(&self) -> usize {
         self.clients.get()
     }
 }
@@ -173,6 +173,6 @@
         let b = &self.budget;
         b.used.set(b.used.get() - 1);
         b.clients.set(b.clients.get() - usize::from(self.client));
-        b.ease();
+        b.notify_waiters();
     }
 }
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -282,7 +282,7 @@
     }
 
     /// Comes back once discovery has told what it holds.
-    pub async fn told(&self) {
+    pub async fn first_snapshot_received(&self) {
         self.intake.heard().await;
     }
 }
--- a/src/net/downstream/mod.rs
+++ b/src/net/downstream/mod.rs
@@ -33,9 +33,9 @@
 
 use crate::net::descriptor_budget::{DescriptorBudget, DescriptorPermit, IdleRegistration};
 use crate::net::downstream::pipeline::Pipeline;
-use crate::net::event_loop::{Answer, EventLoop};
-use crate::net::http_client::{whole, BadBody};
-use crate::net::upstream::{Forward, BODY_MOST, DEADLINE, IDEMPOTENCY_KEY, REQUEST_ID};
+use crate::net::event_loop::{EventLoop, FinalResponse};
+use crate::net::http_client::{read_body, BodyError};
+use crate::net::upstream::{ForwardedRequest, DEADLINE, IDEMPOTENCY_KEY, MAX_BODY_BYTES, REQUEST_ID};
 
 const CLASS: HeaderName = HeaderName::from_static("x-class");
 const PLAN: HeaderName = HeaderName::from_static("x-tariff");
@@ -158,7 +158,7 @@
                 Err(error) => {
                     drop(slot);
                     eprintln!("edge-node: accepting a connection failed: {error}");
-                    self.budget.close_an_idle_client();
+                    self.budget.close_idle_downstream();
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
             }
@@ -173,7 +173,7 @@
         tokio::task::yield_now().await;
         loop {
             match poll_fn(|cx| Poll::Ready(listener.poll_accept(cx))).await {
-                Poll::Ready(Ok((stream, _))) => self.open(stream, self.budget.beyond()),
+                Poll::Ready(Ok((stream, _))) => self.open(stream, self.budget.acquire_beyond_limit()),
                 Poll::Ready(Err(_)) => tokio::time::sleep(ACCEPT_PAUSE).await,
                 Poll::Pending => return,
             }
@@ -182,9 +182,10 @@
 
     async fn slot(&self) -> DescriptorPermit {
         let close_one = || {
-            self.budget.exhausted() && self.node.servers.close_an_idle() || self.budget.close_an_idle_client()
+            self.budget.is_exhausted() && self.node.upstreams.close_oldest_idle()
+                || self.budget.close_idle_downstream()
         };
-        self.budget.room(|| self.budget.for_client(), close_one).await
+        self.budget.acquire_or_evict(|| self.budget.try_acquire_downstream(), close_one).await
     }
 
     fn open(self: &Rc<Self>, stream: TcpStream, slot: DescriptorPermit) {
@@ -193,7 +194,7 @@
         let unheard = || Err::<(), _>(io::Error::from(io::ErrorKind::WouldBlock));
         let _ = stream.try_io(Interest::READABLE, unheard);
         // Counted as new from here on, and not from when its task first runs.
-        self.budget.fresh();
+        self.budget.connection_opened();
         let (stream, close) = (Rc::new(stream), Rc::new(Notify::new()));
         let idle = Rc::new(Idle {
             budget: self.budget.clone(),
@@ -298,27 +299,27 @@
 
     async fn answer(&self, request: Request<Incoming>, framing: Framing) -> Response<Full<Bytes>> {
         let (mut response, last) = match self.serve(request, framing).await {
-            Ok(Answer::Served(body)) => (Response::new(Full::new(body)), false),
-            Ok(Answer::Refused(wait)) => (refused(wait), false),
-            Ok(Answer::Failed) => (plain(StatusCode::BAD_GATEWAY, ""), false),
+            Ok(FinalResponse::Served(body)) => (Response::new(Full::new(body)), false),
+            Ok(FinalResponse::Rejected { retry_after: wait }) => (refused(wait), false),
+            Ok(FinalResponse::Failed) => (plain(StatusCode::BAD_GATEWAY, ""), false),
             Err(Rejected(status, why)) => {
                 (plain(status, why), status.is_client_error() && status != StatusCode::CONFLICT)
             }
         };
         // Danger: behind a request that can't be trusted may lie another that its sender hid there. Where a body in
         // chunks ends in what was read ahead is not followed, so nothing is read behind one, either.
-        if last || framing == Framing::Chunked || self.node.stopping() {
+        if last || framing == Framing::Chunked || self.node.is_shutting_down() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
 
-    async fn serve(&self, request: Request<Incoming>, framing: Framing) -> Result<Answer, Rejected> {
+    async fn serve(&self, request: Request<Incoming>, framing: Framing) -> Result<FinalResponse, Rejected> {
         let now = self.node.clock.now();
         let (head, body) = request.into_parts();
         if head.uri.path() == "/up" {
             return match head.method {
-                Method::GET => Ok(Answer::Served(Bytes::from_static(b"up\n"))),
+                Method::GET => Ok(FinalResponse::Served(Bytes::from_static(b"up\n"))),
                 _ => Err(Rejected(StatusCode::METHOD_NOT_ALLOWED, "GET alone is served here\n")),
             };
         }
@@ -326,17 +327,19 @@
             return Err(bad("a body has a length or comes in chunks, not both and in no other encoding\n"));
         }
         let new = self.read(&head.method, head.uri.path(), head.uri.query(), &head.headers, now)?;
-        let last_call = self.node.last_call(new.deadline);
+        let last_call = self.node.final_response_by(new.deadline);
         if head.method == Method::GET && !body.is_end_stream() {
             return Err(bad("a GET has no body\n"));
         }
         let body_by = last_call.min(Instant::now() + BODY_WAIT);
-        let body = match timeout_at(body_by, whole(body, BODY_MOST)).await {
+        let body = match timeout_at(body_by, read_body(body, MAX_BODY_BYTES)).await {
             Ok(Ok(body)) => body,
-            Ok(Err(BadBody::TooLong)) => {
+            Ok(Err(BodyError::TooLong)) => {
                 return Err(Rejected(StatusCode::PAYLOAD_TOO_LARGE, "the body is longer than 64 KiB\n"));
             }
-            Ok(Err(BadBody::Broken | BadBody::Malformed)) => return Err(bad("the body is not whole\n")),
+            Ok(Err(BodyError::ConnectionBroken | BodyError::Malformed)) => {
+                return Err(bad("the body is not whole\n"))
+            }
             Err(_) => return Err(Rejected(StatusCode::REQUEST_TIMEOUT, "the body came too late\n")),
         };
         let mut headers = head.headers;
@@ -345,22 +348,22 @@
             None => head.uri,
             Some(_) => head.uri.path_and_query().cloned().map(Uri::from).ok_or(bad("no path\n"))?,
         };
-        let forward = Forward {
+        let forward = ForwardedRequest {
             method: head.method,
             uri,
-            id: headers.remove(REQUEST_ID).ok_or(bad("no id\n"))?,
-            key: headers.remove(IDEMPOTENCY_KEY),
+            request_id: headers.remove(REQUEST_ID).ok_or(bad("no id\n"))?,
+            idempotency_key: headers.remove(IDEMPOTENCY_KEY),
             body,
         };
         let id = new.id.clone();
         let answer =
-            self.node.take(new, forward).map_err(|_| Rejected(StatusCode::CONFLICT, "id in use\n"))?;
+            self.node.submit(new, forward).map_err(|_| Rejected(StatusCode::CONFLICT, "id in use\n"))?;
         // When the client goes away, this future is dropped with its connection.
         let _gone = Gone { node: &self.node, id: &id };
         match timeout_at(last_call, answer).await {
             Ok(Ok(answer)) => Ok(answer),
             // Never a refusal: nothing is known of what the attempts have done.
-            Ok(Err(_)) => Ok(Answer::Failed),
+            Ok(Err(_)) => Ok(FinalResponse::Failed),
             Err(_) => Err(Rejected(StatusCode::GATEWAY_TIMEOUT, "")),
         }
     }
@@ -485,7 +488,7 @@
 
 impl Drop for Gone<'_> {
     fn drop(&mut self) {
-        self.node.gone(self.id);
+        self.node.client_disconnected(self.id);
     }
 }
 
@@ -639,7 +642,7 @@
 impl Idle {
     fn begin(&self) {
         self.end();
-        self.ticket.set(Some(self.budget.idle(self.close.clone(), self.used.get())));
+        self.ticket.set(Some(self.budget.register_idle(self.close.clone(), self.used.get())));
     }
 
     /// Whether no request is open, none has come in part, and none may lie unread because the connection is new.
@@ -654,13 +657,13 @@
 
     fn matured(&self) {
         if self.fresh.replace(false) {
-            self.budget.matured();
+            self.budget.connection_classified();
         }
     }
 
     fn end(&self) {
         if let Some(ticket) = self.ticket.take() {
-            self.budget.busy(ticket);
+            self.budget.unregister_idle(ticket);
         }
     }
 }
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -17,7 +17,7 @@
 use crate::net::counter::CounterClient;
 use crate::net::discovery::Discovery;
 use crate::net::event_sink::EventSink;
-use crate::net::upstream::{Forward, Upstreams};
+use crate::net::upstream::{ForwardedRequest, Upstreams};
 
 /// Attempts are given up this long before the client gives up, so that the answer still reaches it.
 const STOP_BEFORE: Micros = 25_000;
@@ -25,11 +25,14 @@
 const FAIL_BEFORE: Micros = 15_000;
 
 /// The one final answer to a request.
-pub enum Answer {
+pub enum FinalResponse {
     /// An app server's answer.
     Served(Bytes),
-    /// Turned away: a repeat is harmless. How long to stay away, if told.
-    Refused(Micros),
+    /// Rejected without effect, so that a retry is harmless.
+    Rejected {
+        /// When the client should come back, from now; 0 means no advice.
+        retry_after: Micros,
+    },
     /// Failed, nothing promised.
     Failed,
 }
@@ -45,8 +48,8 @@
 
 struct Open {
     /// Where the final answer goes; none once it has been given or the client has gone.
-    answer: Option<oneshot::Sender<Answer>>,
-    forward: Rc<Forward>,
+    answer: Option<oneshot::Sender<FinalResponse>>,
+    forward: Rc<ForwardedRequest>,
     /// Attempts are given up at this time.
     stop: Micros,
     attempts: Vec<Attempt>,
@@ -59,7 +62,7 @@
     /// The node's clock.
     pub clock: Clock,
     /// The app servers.
-    pub servers: Rc<Upstreams>,
+    pub upstreams: Rc<Upstreams>,
     counter: Rc<CounterClient>,
     discovery: Rc<Discovery>,
     try_limit: usize,
@@ -73,21 +76,21 @@
 }
 
 /// A request under an id that is still in work.
-pub struct Duplicate;
+pub struct DuplicateRequestId;
 
 impl EventLoop {
     /// A node that knows nothing yet.
     pub fn new(
         controller: DecisionEngine,
         try_limit: u32,
-        servers: Rc<Upstreams>,
+        upstreams: Rc<Upstreams>,
         counter: Rc<CounterClient>,
         discovery: Rc<Discovery>,
     ) -> Rc<Self> {
         Rc::new_cyclic(|own| EventLoop {
             own: own.clone(),
             clock: Clock::start(),
-            servers,
+            upstreams,
             counter,
             discovery,
             try_limit: try_limit.max(1) as usize,
@@ -101,28 +104,28 @@
     }
 
     /// Whether a planned stop has begun.
-    pub fn stopping(&self) -> bool {
+    pub fn is_shutting_down(&self) -> bool {
         self.stopping.get()
     }
 
     /// Begins a planned stop.
-    pub fn stop(&self) {
+    pub fn start_shutdown(&self) {
         self.stopping.set(true);
     }
 
     /// Whether a client still waits for an answer.
-    pub fn waited_for(&self) -> bool {
+    pub fn has_waiting_clients(&self) -> bool {
         self.open.borrow().values().any(|o| o.answer.is_some())
     }
 
     /// The last moment of a planned stop: what is still unanswered has failed, and so has what still comes.
-    pub fn fail_all(&self) {
+    pub fn fail_open_requests(&self) {
         self.over.set(true);
         let left: Vec<_> = self.open.borrow().keys().cloned().collect();
         for id in left {
             let waited = self.open.borrow_mut().get_mut(&id).and_then(|o| o.answer.take());
             if let Some(sender) = waited {
-                let _ = sender.send(Answer::Failed);
+                let _ = sender.send(FinalResponse::Failed);
                 self.send(Event::ClientDisconnected { request: id.clone() });
                 self.call_back(&id);
             }
@@ -139,15 +142,17 @@
             Action::StartAttempt { request: id, endpoint: server, timeout } => {
                 self.start_attempt(id, server, timeout)
             }
-            Action::Reject { request: id, retry_after } => self.finish(&id, Answer::Refused(retry_after)),
-            Action::Fail { request: id } => self.finish(&id, Answer::Failed),
+            Action::Reject { request: id, retry_after } => {
+                self.finish(&id, FinalResponse::Rejected { retry_after })
+            }
+            Action::Fail { request: id } => self.finish(&id, FinalResponse::Failed),
             Action::CancelAttempt { request: id, attempt_number: attempt } => {
                 self.end(&id, attempt as usize, Outcome::Cancelled, None)
             }
             Action::ProbeEndpoint { endpoint: server } => {
                 let node = self.own();
                 tokio::task::spawn_local(async move {
-                    let outcome = node.servers.probe(server).await;
+                    let outcome = node.upstreams.probe(server).await;
                     node.send(Event::ProbeCompleted { endpoint: server, outcome });
                 });
             }
@@ -169,15 +174,15 @@
 
     /// Takes a request; its answer comes through the receiver. Danger: an id that is still in work must not
     /// be entered again, or a request that may not run twice would.
-    pub fn take(
+    pub fn submit(
         &self,
         request: NewRequest,
-        forward: Forward,
-    ) -> Result<oneshot::Receiver<Answer>, Duplicate> {
+        forward: ForwardedRequest,
+    ) -> Result<oneshot::Receiver<FinalResponse>, DuplicateRequestId> {
         let (sender, receiver) = oneshot::channel();
         // Danger: a body may end at the last moment, and what is begun then is lost with the node.
         if self.over.get() {
-            let _ = sender.send(Answer::Failed);
+            let _ = sender.send(FinalResponse::Failed);
             return Ok(receiver);
         }
         let open = Open {
@@ -187,7 +192,7 @@
             attempts: Vec::new(),
         };
         match self.open.borrow_mut().entry(request.id.clone()) {
-            std::collections::btree_map::Entry::Occupied(_) => return Err(Duplicate),
+            std::collections::btree_map::Entry::Occupied(_) => return Err(DuplicateRequestId),
             std::collections::btree_map::Entry::Vacant(place) => place.insert(open),
         };
         self.send(Event::RequestReceived(request));
@@ -195,12 +200,12 @@
     }
 
     /// When a request that is due at this time has to be answered.
-    pub fn last_call(&self, due: Micros) -> Instant {
+    pub fn final_response_by(&self, due: Micros) -> Instant {
         self.clock.instant(due.saturating_sub(FAIL_BEFORE))
     }
 
     /// Nobody waits for this request any more: its client has gone, or it has just been told that it failed.
-    pub fn gone(&self, id: &RequestId) {
+    pub fn client_disconnected(&self, id: &RequestId) {
         let waited = self.open.borrow_mut().get_mut(id).and_then(|o| o.answer.take());
         if waited.is_some() {
             self.send(Event::ClientDisconnected { request: id.clone() });
@@ -219,7 +224,7 @@
         unsent.into_iter().for_each(|number| self.end(id, number, Outcome::NotSent, None));
     }
 
-    fn finish(&self, id: &RequestId, answer: Answer) {
+    fn finish(&self, id: &RequestId, answer: FinalResponse) {
         if let Some(sender) = self.open.borrow_mut().get_mut(id).and_then(|o| o.answer.take()) {
             // A client that has just gone is told of by its connection.
             let _ = sender.send(answer);
@@ -264,7 +269,7 @@
         let (node, forward, begun) = (self.own(), open.forward.clone(), attempt.begun.clone());
         let key = id.clone();
         let task = tokio::task::spawn_local(async move {
-            let (outcome, body) = node.servers.attempt(&node.clock, server, &forward, stop, &begun).await;
+            let (outcome, body) = node.upstreams.attempt(&node.clock, server, &forward, stop, &begun).await;
             node.end(&key, number, outcome, body);
         });
         attempt.task = Some(task.abort_handle());
@@ -284,7 +289,7 @@
         let (server, spent) = (attempt.server, self.clock.now().saturating_sub(attempt.sent));
         if let Some(body) = body {
             if let Some(sender) = open.answer.take() {
-                let _ = sender.send(Answer::Served(body));
+                let _ = sender.send(FinalResponse::Served(body));
             }
         }
         let finished = open.answer.is_none();
--- a/src/net/http_client.rs
+++ b/src/net/http_client.rs
@@ -175,26 +175,26 @@
 }
 
 /// Why a body was not taken in.
-pub enum BadBody {
+pub enum BodyError {
     /// It is longer than allowed.
     TooLong,
     /// It can't be read.
     Malformed,
     /// The connection broke first.
-    Broken,
+    ConnectionBroken,
 }
 
 /// Takes in a whole body of at most `most` bytes.
-pub async fn whole(body: Incoming, most: usize) -> Result<Bytes, BadBody> {
+pub async fn read_body(body: Incoming, most: usize) -> Result<Bytes, BodyError> {
     if body.size_hint().lower() > most as u64 {
-        return Err(BadBody::TooLong);
+        return Err(BodyError::TooLong);
     }
     match Limited::new(body, most).collect().await {
         Ok(body) => Ok(body.to_bytes()),
-        Err(e) if e.is::<LengthLimitError>() => Err(BadBody::TooLong),
+        Err(e) if e.is::<LengthLimitError>() => Err(BodyError::TooLong),
         Err(e) => Err(match e.downcast_ref::<hyper::Error>().and_then(std::error::Error::source) {
-            Some(cause) if unreadable(cause) => BadBody::Malformed,
-            _ => BadBody::Broken,
+            Some(cause) if unreadable(cause) => BodyError::Malformed,
+            _ => BodyError::ConnectionBroken,
         }),
     }
 }
--- a/src/net/shutdown_schedule.rs
+++ b/src/net/shutdown_schedule.rs
@@ -16,18 +16,18 @@
 const FAIL_BEFORE_KILL: Duration = Duration::from_millis(400);
 const END_BEFORE_KILL: Duration = Duration::from_millis(200);
 /// How long answers are still written at the least.
-pub const FLUSH_LEAST: Duration = Duration::from_millis(100);
+pub const MIN_FLUSH_TIME: Duration = Duration::from_millis(100);
 
 /// When what is done, as spans from SIGTERM.
 pub struct ShutdownSchedule {
     /// Idle connections are closed.
-    pub idle: Duration,
+    pub close_idle_at: Duration,
     /// The listener is closed.
-    pub deaf: Duration,
+    pub close_listener_at: Duration,
     /// What is unanswered has failed.
-    pub fail: Duration,
+    pub fail_requests_at: Duration,
     /// The node ends, whatever is still being written.
-    pub end: Duration,
+    pub exit_at: Duration,
 }
 
 impl ShutdownSchedule {
@@ -38,6 +38,11 @@
         let kill = longest_deadline.min(DEADLINE_MOST) + KILLED_AFTER;
         let deaf = DEAF.min(kill - DEAF_BEFORE_KILL);
         let fail = (kill - FAIL_BEFORE_KILL).max(deaf);
-        ShutdownSchedule { idle: IDLE, deaf, fail, end: (kill - END_BEFORE_KILL).max(fail + FLUSH_LEAST) }
+        ShutdownSchedule {
+            close_idle_at: IDLE,
+            close_listener_at: deaf,
+            fail_requests_at: fail,
+            exit_at: (kill - END_BEFORE_KILL).max(fail + MIN_FLUSH_TIME),
+        }
     }
 }
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -21,11 +21,11 @@
 use crate::net::discovery::directory::{AppliedDelta, EndpointDirectory};
 use crate::net::discovery::endpoints::{Endpoint, Endpoints, Places};
 use crate::net::discovery::parser::{Entry, Faults};
-use crate::net::http_client::{framed, whole, BadBody, Broken, Connection};
+use crate::net::http_client::{framed, read_body, BodyError, Broken, Connection};
 use crate::net::upstream::reuse::Reuse;
 
 /// Bodies hold at most this much.
-pub const BODY_MOST: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// How long an answer may take from its first byte to its last.
 const STALL: Duration = Duration::from_millis(250);
 /// A connection has this long at least to come up.
@@ -46,15 +46,15 @@
 const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
 
 /// What goes on to an app server.
-pub struct Forward {
+pub struct ForwardedRequest {
     /// The method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
     /// `X-Request-Id`.
-    pub id: HeaderValue,
+    pub request_id: HeaderValue,
     /// `Idempotency-Key`.
-    pub key: Option<HeaderValue>,
+    pub idempotency_key: Option<HeaderValue>,
     /// The body.
     pub body: Bytes,
 }
@@ -197,7 +197,7 @@
     }
 
     /// Closes the connection that has been idle for longest, to free its descriptor.
-    pub fn close_an_idle(&self) -> bool {
+    pub fn close_oldest_idle(&self) -> bool {
         let pools = self.pools.borrow();
         let longest = |pool: &Rc<Pool>| pool.idle.borrow().first().map(|kept| kept.since);
         let oldest = pools.values().filter_map(|p| Some((longest(p)?, p))).min_by_key(|&(since, _)| since);
@@ -210,7 +210,7 @@
         &self,
         clock: &Clock,
         server: EndpointId,
-        forward: &Forward,
+        forward: &ForwardedRequest,
         stop: Micros,
         begun: &Cell<bool>,
     ) -> (Outcome, Option<Bytes>) {
@@ -276,12 +276,12 @@
             return Err(Broken::Spoilt);
         }
         let not_run = response.headers().get(NOT_RUN).is_some_and(|v| v == "1");
-        let body = whole(response.into_body(), BODY_MOST).await;
+        let body = read_body(response.into_body(), MAX_BODY_BYTES).await;
         let turned_away = status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::GATEWAY_TIMEOUT;
         Ok(match body {
             // The head alone says that it has not run, whatever became of the rest.
             body if turned_away && not_run => (Outcome::Rejected, None, body.is_ok()),
-            Err(BadBody::Broken) => (Outcome::Reset, None, false),
+            Err(BodyError::ConnectionBroken) => (Outcome::Reset, None, false),
             Err(_) => return Err(Broken::Spoilt),
             Ok(body) if status == StatusCode::OK => (Outcome::Ok, Some(body), true),
             Ok(_) => (Outcome::Error, None, true),
@@ -310,7 +310,7 @@
                 same.then_some(Line { connection, pool, idle: None }).ok_or(NoLine::Failed)
             }
             Ok(Err(true)) => Err(NoLine::Shed),
-            Err(_) if self.budget.exhausted() => Err(NoLine::Shed),
+            Err(_) if self.budget.is_exhausted() => Err(NoLine::Shed),
             Ok(Err(false)) | Err(_) => Err(NoLine::Failed),
         }
     }
@@ -349,14 +349,14 @@
     /// A place for one more connection. Guard: with none free, idle ones are closed first; what finds none
     /// within the connect time-out is shed.
     async fn slot(&self) -> DescriptorPermit {
-        let close_one = || self.close_an_idle() || self.budget.close_an_idle_client();
-        self.budget.room(|| self.budget.for_server(), close_one).await
+        let close_one = || self.close_oldest_idle() || self.budget.close_idle_downstream();
+        self.budget.acquire_or_evict(|| self.budget.try_acquire_upstream(), close_one).await
     }
 
     fn give_back(&self, server: EndpointId, connection: Connection, pool: &Rc<Pool>) {
         if self.is_current(server, pool) {
             pool.idle.borrow_mut().push(Kept { connection, since: Instant::now() });
-            self.budget.ease();
+            self.budget.notify_waiters();
         }
     }
 
@@ -437,15 +437,15 @@
     matches!(error.raw_os_error(), Some(ENFILE | EMFILE))
 }
 
-fn build(forward: &Forward, host: HeaderValue, left_ms: u64) -> Request<Full<Bytes>> {
+fn build(forward: &ForwardedRequest, host: HeaderValue, left_ms: u64) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(forward.body.clone()));
     *request.method_mut() = forward.method.clone();
     *request.uri_mut() = forward.uri.clone();
     let headers = request.headers_mut();
     headers.insert(HOST, host);
-    headers.insert(REQUEST_ID, forward.id.clone());
+    headers.insert(REQUEST_ID, forward.request_id.clone());
     headers.insert(DEADLINE, HeaderValue::from(left_ms));
-    if let Some(key) = &forward.key {
+    if let Some(key) = &forward.idempotency_key {
         headers.insert(IDEMPOTENCY_KEY, key.clone());
     }
     request
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -2,19 +2,19 @@
 
 use std::rc::Rc;
 
-use edge_node::net::descriptor_budget::{DescriptorBudget, KEPT_BACK};
+use edge_node::net::descriptor_budget::{DescriptorBudget, RESERVED_DESCRIPTORS};
 
 #[test]
 fn a_kept_connection_makes_room_unless_half_of_all_are_too_new_to_tell() {
-    let budget = DescriptorBudget::new(KEPT_BACK + 20);
-    budget.idle(Rc::default(), true);
-    (0..5).for_each(|_| budget.fresh());
-    assert!(budget.close_an_idle_client(), "a few new ones must not keep it");
-    budget.idle(Rc::default(), true);
-    budget.fresh();
-    assert!(!budget.close_an_idle_client(), "a flood must not push it out");
-    budget.idle(Rc::default(), false);
-    assert!(budget.close_an_idle_client(), "one that stayed silent goes first");
-    budget.matured();
-    assert!(budget.close_an_idle_client());
+    let budget = DescriptorBudget::new(RESERVED_DESCRIPTORS + 20);
+    budget.register_idle(Rc::default(), true);
+    (0..5).for_each(|_| budget.connection_opened());
+    assert!(budget.close_idle_downstream(), "a few new ones must not keep it");
+    budget.register_idle(Rc::default(), true);
+    budget.connection_opened();
+    assert!(!budget.close_idle_downstream(), "a flood must not push it out");
+    budget.register_idle(Rc::default(), false);
+    assert!(budget.close_idle_downstream(), "one that stayed silent goes first");
+    budget.connection_classified();
+    assert!(budget.close_idle_downstream());
 }
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -19,7 +19,7 @@
 use edge_node::net::discovery::{Discovery, WatchSchedule, LIST_MOST};
 use edge_node::net::event_loop::EventLoop;
 use edge_node::net::event_sink::EventSink;
-use edge_node::net::upstream::{Forward, Upstreams};
+use edge_node::net::upstream::{ForwardedRequest, Upstreams};
 use edge_node::protocol::simulator::SettingsDocument;
 use fakes::*;
 use serde_json::{json, Value};
@@ -484,13 +484,13 @@
         until(|| arrived(&agent).filter(|seen| seen.message.first.contains("after=0&"))).await;
         discovery.fetch(node.clone());
         let fetch = until(|| arrived(&agent).filter(|seen| !seen.message.first.contains("after="))).await;
-        let known = Arc::downgrade(&node.servers.endpoints());
+        let known = Arc::downgrade(&node.upstreams.endpoints());
         let sent = std::thread::spawn(move || fetch.spoil(text.as_bytes()));
         // Whoever makes a list ready holds on to what it is made ready beside.
         until(|| (known.strong_count() > 1).then_some(())).await;
         discovery.move_to(&events(&node), other.address);
         until(|| (known.strong_count() <= 1).then_some(())).await;
-        assert!(node.servers.endpoints().is_empty(), "what the old agent told was taken in after the move");
+        assert!(node.upstreams.endpoints().is_empty(), "what the old agent told was taken in after the move");
         let new = list(3, &[numbered(1, "up")]).to_string();
         // Calls that were given up meanwhile are answered, too.
         until(|| {
@@ -501,7 +501,7 @@
         })
         .await;
         sent.join().expect("sent");
-        let endpoints = node.servers.endpoints();
+        let endpoints = node.upstreams.endpoints();
         assert_eq!((endpoints.len(), endpoints.find(&name(1)).is_some()), (1, true));
     });
 }
@@ -515,14 +515,14 @@
         let (node, discovery) = in_process(&agent);
         discovery.start(&events(&node), List::default());
         let watch = until(|| arrived(&agent).filter(|seen| seen.message.first.contains("after=0&"))).await;
-        let known = Arc::downgrade(&node.servers.endpoints());
+        let known = Arc::downgrade(&node.upstreams.endpoints());
         let sent = std::thread::spawn(move || watch.spoil(text.as_bytes()));
         until(|| (known.strong_count() > 1).then_some(())).await;
         let late = read(&[numbered(MANY, "up")]);
-        node.servers.apply_delta(late.entries(), &places());
+        node.upstreams.apply_delta(late.entries(), &places());
         until(|| arrived(&agent).filter(|seen| seen.message.first.contains("after=2&"))).await;
         sent.join().expect("sent");
-        let endpoints = node.servers.endpoints();
+        let endpoints = node.upstreams.endpoints();
         assert_eq!((endpoints.len(), endpoints.find(&name(MANY)).is_some()), (MANY + 1, true));
     });
 }
@@ -555,7 +555,7 @@
         if let Some(seen) = watch(agent, version) {
             send(seen, text);
         }
-        node.servers.replacing().then_some(())
+        node.upstreams.replacing().then_some(())
     })
     .await;
 }
@@ -565,7 +565,7 @@
     let mut turns = 0;
     until(|| {
         turns += 1;
-        (!node.servers.replacing()).then_some(turns)
+        (!node.upstreams.replacing()).then_some(turns)
     })
     .await
 }
@@ -594,9 +594,15 @@
         tokio::task::spawn_local(async move {
             let (method, uri) = (hyper::Method::GET, hyper::Uri::from_static("/"));
             let id = hyper::header::HeaderValue::from_static("p");
-            let forward = Forward { method, uri, id, key: None, body: bytes::Bytes::new() };
+            let forward = ForwardedRequest {
+                method,
+                uri,
+                request_id: id,
+                idempotency_key: None,
+                body: bytes::Bytes::new(),
+            };
             let (server, stop) = (number_of(number), node.clock.now() + 20_000_000);
-            node.servers.attempt(&node.clock, server, &forward, stop, &Cell::new(false)).await.0
+            node.upstreams.attempt(&node.clock, server, &forward, stop, &Cell::new(false)).await.0
         })
     };
     let tasks: Vec<_> = numbers.iter().map(attempt).collect();
@@ -635,7 +641,7 @@
         let outcomes = attempts(&node, &numbers, &[(&first, 2), (&second, 2)]).await;
         assert_eq!(outcomes[..4], [Outcome::Ok; 4], "gone but not told so yet, new, moved");
         assert_eq!(outcomes[4], Outcome::ConnectFailed);
-        assert!(node.servers.replacing(), "all of this between two parts");
+        assert!(node.upstreams.replacing(), "all of this between two parts");
         to_the_end(&node).await;
         let outcomes = attempts(&node, &[7, 8, SOME + 7], &[(&second, 1)]).await;
         assert_eq!(outcomes, [Outcome::ConnectFailed, Outcome::ConnectFailed, Outcome::Ok]);
@@ -655,7 +661,7 @@
         }
         let same = many(4, SOME, &app, &[]);
         let next = until(|| {
-            assert!(!node.servers.replacing(), "the same list again");
+            assert!(!node.upstreams.replacing(), "the same list again");
             let seen = arrived(&agent)?;
             if seen.message.first.contains("after=3&") {
                 send(seen, &same);
@@ -677,15 +683,15 @@
         halfway(&node, &agent, 0, &text).await;
         discovery.move_to(&events(&node), other.address);
         let call = next_call(&other).await;
-        assert!(node.servers.replacing(), "moved between two parts");
+        assert!(node.upstreams.replacing(), "moved between two parts");
         to_the_end(&node).await;
-        assert_eq!(node.servers.endpoints().len(), SOME);
+        assert_eq!(node.upstreams.endpoints().len(), SOME);
         call.spoil(b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
         let call = until(|| arrived(&other)).await;
         assert!(!call.message.first.contains("after="), "asked from the old agent's version");
         call.answer("200 OK", "", &list(3, &[numbered(1, "up")]).to_string());
         until(|| watch(&other, 3)).await;
-        assert_eq!(node.servers.endpoints().len(), 1);
+        assert_eq!(node.upstreams.endpoints().len(), 1);
     });
 }
 
@@ -707,15 +713,15 @@
             discovery.fetch(node.clone());
             send(next_call(&agent).await, &other);
             turns().await;
-            assert!(node.servers.replacing(), "told between two parts");
-            let found = |number| node.servers.endpoints().find(&name(number)).is_some();
+            assert!(node.upstreams.replacing(), "told between two parts");
+            let found = |number| node.upstreams.endpoints().find(&name(number)).is_some();
             assert!(found(0) && !found(SOME), "taken in between two parts");
             to_the_end(&node).await;
             if version > 9 {
                 return until(|| found(SOME).then_some(())).await;
             }
             // Whoever makes a list ready holds on to what it is made ready beside.
-            let known = Arc::downgrade(&node.servers.endpoints());
+            let known = Arc::downgrade(&node.upstreams.endpoints());
             turns().await;
             until(|| (known.strong_count() <= 1).then_some(())).await;
             turns().await;
@@ -728,7 +734,7 @@
 fn of_two_long_lists_the_second_is_not_put_in_place_before_the_decisions_know_all_of_the_first() {
     on_one_thread(async {
         let (node, _) = in_process(&App::new());
-        let intake = Intake::new(node.servers.clone(), places());
+        let intake = Intake::new(node.upstreams.clone(), places());
         let take_in = |from: usize| {
             let list = read(&(from..from + SOME).map(|n| numbered(n, "up")).collect::<Vec<_>>());
             let (intake, events, told) = (intake.clone(), events(&node), Told { list, long: true });
@@ -737,20 +743,20 @@
             })
         };
         let first = take_in(0);
-        until(|| node.servers.replacing().then_some(())).await;
+        until(|| node.upstreams.replacing().then_some(())).await;
         let second = take_in(SOME);
         tokio::task::yield_now().await;
         // The task that has a list made ready and the thread that does so hold on to what it is made ready beside.
-        let known = Arc::downgrade(&node.servers.endpoints());
+        let known = Arc::downgrade(&node.upstreams.endpoints());
         while known.strong_count() > 2 {
             std::thread::yield_now();
         }
         turns().await;
-        let found = |number| node.servers.endpoints().find(&name(number)).is_some();
-        assert!(node.servers.replacing() && found(0) && !found(SOME));
+        let found = |number| node.upstreams.endpoints().find(&name(number)).is_some();
+        assert!(node.upstreams.replacing() && found(0) && !found(SOME));
         assert!(first.await.expect("no panic").expect("taken in"));
         assert!(second.await.expect("no panic").expect("taken in"));
-        assert!(!node.servers.replacing() && !found(0) && found(SOME));
+        assert!(!node.upstreams.replacing() && !found(0) && found(SOME));
     });
 }
 
