--- a/src/net/counter/mod.rs
+++ b/src/net/counter/mod.rs
@@ -77,7 +77,7 @@
     }
 
     /// Makes a call; its outcome comes as an event.
-    pub fn add(&self, events: &dyn EventSink, name: CounterKey, amount: f64, keep_for: Micros) {
+    pub fn increment(&self, events: &dyn EventSink, name: CounterKey, amount: f64, keep_for: Micros) {
         let line = self.lines.borrow()[(name.0 % LINES) as usize].clone();
         if self.address.get().is_none() || !amount.is_finite() || line.queue.borrow().len() >= QUEUE_MOST {
             return events.send(Event::CounterReplied {
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -29,7 +29,7 @@
 use crate::net::discovery::endpoints::Places;
 use crate::net::discovery::parser::List;
 use crate::net::event_sink::EventSink;
-use crate::net::http_client::Connection;
+use crate::net::http_client::ClientConnection;
 
 /// How long a watch may wait, and how much later its answer counts as lost. Danger: a change counts as told
 /// 6 s after it at the latest, arrived or not, so a watch on a dead connection is given up sooner.
@@ -243,7 +243,7 @@
     /// Asks for a list. It may stay silent for so long, and take as long as it goes on coming.
     async fn get(
         &self,
-        connection: &mut Option<Connection>,
+        connection: &mut Option<ClientConnection>,
         path: &str,
         wait: Duration,
     ) -> Result<Told, Failure> {
@@ -266,12 +266,12 @@
 
     async fn ask(
         &self,
-        kept: Option<Connection>,
+        kept: Option<ClientConnection>,
         path: &str,
-    ) -> Result<(Connection, Response<Incoming>), Failure> {
-        let mut line = match kept.filter(Connection::usable) {
+    ) -> Result<(ClientConnection, Response<Incoming>), Failure> {
+        let mut line = match kept.filter(ClientConnection::is_open) {
             Some(line) => line,
-            None => Connection::open(self.address.get(), ()).await.map_err(|_| Failure::Broken)?,
+            None => ClientConnection::open(self.address.get(), ()).await.map_err(|_| Failure::Broken)?,
         };
         let mut request = Request::new(Full::<Bytes>::default());
         *request.uri_mut() = path.parse::<Uri>().map_err(|_| Failure::Broken)?;
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -1,88 +1,55 @@
-//! The node: it owns the decisions and all open requests, and is the one place where events enter the
-//! decisions and actions leave them.
+//! The event loop: the one place where events enter the decisions and actions leave them. It owns the decisions and
+//! the open requests.
 
 use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::VecDeque;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-use crate::decision::DecisionEngine;
-use crate::decision::*;
-use bytes::Bytes;
 use tokio::sync::oneshot;
-use tokio::task::AbortHandle;
-use tokio::time::Instant;
+use tokio::task::spawn_local;
+use tokio::time::{sleep, Instant};
 
+use crate::decision::{
+    Action, DecisionEngine, EndedAttempt, EndpointId, Event, Micros, NewRequest, Outcome, RequestId,
+};
 use crate::net::clock::Clock;
 use crate::net::counter::CounterClient;
 use crate::net::discovery::Discovery;
 use crate::net::event_sink::EventSink;
-use crate::net::upstream::{ForwardedRequest, Upstreams};
+use crate::net::open_requests::{Attempt, OpenRequest, OpenRequests};
+use crate::net::upstream::{AttemptResult, ForwardedRequest, Upstreams};
 
-/// Attempts are given up this long before the client gives up, so that the answer still reaches it.
-const STOP_BEFORE: Micros = 25_000;
-/// What is unanswered this long before the client gives up has failed.
-const FAIL_BEFORE: Micros = 15_000;
+pub use crate::net::open_requests::{DuplicateRequestId, FinalResponse};
 
-/// The one final answer to a request.
-pub enum FinalResponse {
-    /// An app server's answer.
-    Served(Bytes),
-    /// Rejected without effect, so that a retry is harmless.
-    Rejected {
-        /// When the client should come back, from now; 0 means no advice.
-        retry_after: Micros,
-    },
-    /// Failed, nothing promised.
-    Failed,
-}
-
-struct Attempt {
-    server: EndpointId,
-    sent: Micros,
-    /// Its task, while the attempt is out.
-    task: Option<AbortHandle>,
-    /// Whether it may have been written, in whole or in part.
-    begun: Rc<Cell<bool>>,
-}
-
-struct Open {
-    /// Where the final answer goes; none once it has been given or the client has gone.
-    answer: Option<oneshot::Sender<FinalResponse>>,
-    forward: Rc<ForwardedRequest>,
-    /// Attempts are given up at this time.
-    stop: Micros,
-    attempts: Vec<Attempt>,
-}
+/// A request without a final response this long before the client stops waiting has failed.
+const RESPONSE_MARGIN: Micros = 15_000;
 
-/// One edge node.
+/// One edge node's event loop.
 pub struct EventLoop {
     /// Itself, for the tasks that it starts.
     own: Weak<EventLoop>,
     /// The node's clock.
     pub clock: Clock,
-    /// The app servers.
+    /// The endpoints.
     pub upstreams: Rc<Upstreams>,
     counter: Rc<CounterClient>,
     discovery: Rc<Discovery>,
-    try_limit: usize,
-    controller: RefCell<DecisionEngine>,
-    open: RefCell<BTreeMap<RequestId, Open>>,
-    events: RefCell<VecDeque<Event>>,
-    busy: Cell<bool>,
-    stopping: Cell<bool>,
-    /// The last moment of a planned stop has come: nothing more is begun.
-    over: Cell<bool>,
+    max_attempts: usize,
+    engine: RefCell<DecisionEngine>,
+    open_requests: RefCell<OpenRequests>,
+    pending_events: RefCell<VecDeque<Event>>,
+    handling_events: Cell<bool>,
+    shutting_down: Cell<bool>,
+    /// The shutdown has failed what was open: no attempt is started any more.
+    requests_closed: Cell<bool>,
 }
 
-/// A request under an id that is still in work.
-pub struct DuplicateRequestId;
-
 impl EventLoop {
-    /// A node that knows nothing yet.
+    /// An event loop without open requests. A request gets at most `max_attempts`, and at least one.
     pub fn new(
-        controller: DecisionEngine,
-        try_limit: u32,
+        engine: DecisionEngine,
+        max_attempts: u32,
         upstreams: Rc<Upstreams>,
         counter: Rc<CounterClient>,
         discovery: Rc<Discovery>,
@@ -93,244 +60,258 @@
             upstreams,
             counter,
             discovery,
-            try_limit: try_limit.max(1) as usize,
-            controller: RefCell::new(controller),
-            open: RefCell::default(),
-            events: RefCell::default(),
-            busy: Cell::new(false),
-            stopping: Cell::new(false),
-            over: Cell::new(false),
+            max_attempts: max_attempts.max(1) as usize,
+            engine: RefCell::new(engine),
+            open_requests: RefCell::default(),
+            pending_events: RefCell::default(),
+            handling_events: Cell::new(false),
+            shutting_down: Cell::new(false),
+            requests_closed: Cell::new(false),
         })
     }
 
-    /// Whether a planned stop has begun.
+    /// Whether a graceful shutdown has begun.
     pub fn is_shutting_down(&self) -> bool {
-        self.stopping.get()
+        self.shutting_down.get()
     }
 
-    /// Begins a planned stop.
+    /// Begins a graceful shutdown.
     pub fn start_shutdown(&self) {
-        self.stopping.set(true);
+        self.shutting_down.set(true);
     }
 
-    /// Whether a client still waits for an answer.
+    /// Whether a client still waits for its final response.
     pub fn has_waiting_clients(&self) -> bool {
-        self.open.borrow().values().any(|o| o.answer.is_some())
+        self.open_requests.borrow().has_waiting_clients()
     }
 
-    /// The last moment of a planned stop: what is still unanswered has failed, and so has what still comes.
+    /// Fails all open requests, and from now on each new one. For the end of a shutdown.
     pub fn fail_open_requests(&self) {
-        self.over.set(true);
-        let left: Vec<_> = self.open.borrow().keys().cloned().collect();
-        for id in left {
-            let waited = self.open.borrow_mut().get_mut(&id).and_then(|o| o.answer.take());
-            if let Some(sender) = waited {
-                let _ = sender.send(FinalResponse::Failed);
-                self.send(Event::ClientDisconnected { request: id.clone() });
-                self.call_back(&id);
+        self.requests_closed.set(true);
+        let ids = self.open_requests.borrow().ids();
+        for id in ids {
+            let responder = self.open_requests.borrow_mut().take_responder(&id);
+            if let Some(responder) = responder {
+                let _ = responder.send(FinalResponse::Failed);
+                self.abandon(&id);
             }
         }
     }
 
-    /// The shared handle of this event loop. It is only ever created behind one.
-    fn own(&self) -> Rc<Self> {
-        self.own.upgrade().expect("an event loop in use is held by its handle")
-    }
-
-    fn perform(&self, action: Action) {
-        match action {
-            Action::StartAttempt { request: id, endpoint: server, timeout } => {
-                self.start_attempt(id, server, timeout)
-            }
-            Action::Reject { request: id, retry_after } => {
-                self.finish(&id, FinalResponse::Rejected { retry_after })
-            }
-            Action::Fail { request: id } => self.finish(&id, FinalResponse::Failed),
-            Action::CancelAttempt { request: id, attempt_number: attempt } => {
-                self.end(&id, attempt as usize, Outcome::Cancelled, None)
-            }
-            Action::ProbeEndpoint { endpoint: server } => {
-                let node = self.own();
-                tokio::task::spawn_local(async move {
-                    let outcome = node.upstreams.probe(server).await;
-                    node.send(Event::ProbeCompleted { endpoint: server, outcome });
-                });
-            }
-            Action::IncrementCounter { key: name, amount, keep_for } => {
-                self.counter.add(self, name, amount, keep_for)
-            }
-            Action::SetTimer { id, after } => {
-                let node = self.own();
-                tokio::task::spawn_local(async move {
-                    tokio::time::sleep(Duration::from_micros(after)).await;
-                    node.send(Event::TimerFired { id });
-                });
-            }
-            Action::FetchEndpoints => self.discovery.fetch(self.own()),
-            // The list is watched from the start on.
-            Action::WatchEndpoints => {}
-        }
-    }
-
-    /// Takes a request; its answer comes through the receiver. Danger: an id that is still in work must not
-    /// be entered again, or a request that may not run twice would.
+    /// Submits a request; its final response comes through the receiver.
+    ///
+    /// # Errors
+    /// If a request with this id is still open.
     pub fn submit(
         &self,
         request: NewRequest,
-        forward: ForwardedRequest,
+        forwarded: ForwardedRequest,
     ) -> Result<oneshot::Receiver<FinalResponse>, DuplicateRequestId> {
-        let (sender, receiver) = oneshot::channel();
-        // Danger: a body may end at the last moment, and what is begun then is lost with the node.
-        if self.over.get() {
-            let _ = sender.send(FinalResponse::Failed);
+        let (mut open_request, receiver) = OpenRequest::new(forwarded, request.deadline);
+        // A body may end after the shutdown has failed what was open. An attempt started then would be lost with
+        // the process.
+        if self.requests_closed.get() {
+            open_request.respond(FinalResponse::Failed);
             return Ok(receiver);
         }
-        let open = Open {
-            answer: Some(sender),
-            forward: Rc::new(forward),
-            stop: request.deadline.saturating_sub(STOP_BEFORE),
-            attempts: Vec::new(),
-        };
-        match self.open.borrow_mut().entry(request.id.clone()) {
-            std::collections::btree_map::Entry::Occupied(_) => return Err(DuplicateRequestId),
-            std::collections::btree_map::Entry::Vacant(place) => place.insert(open),
-        };
+        self.open_requests.borrow_mut().insert(request.id.clone(), open_request)?;
         self.send(Event::RequestReceived(request));
         Ok(receiver)
     }
 
-    /// When a request that is due at this time has to be answered.
-    pub fn final_response_by(&self, due: Micros) -> Instant {
-        self.clock.instant(due.saturating_sub(FAIL_BEFORE))
+    /// When a request with this deadline has to have its final response.
+    pub fn final_response_by(&self, deadline: Micros) -> Instant {
+        self.clock.instant(deadline.saturating_sub(RESPONSE_MARGIN))
     }
 
-    /// Nobody waits for this request any more: its client has gone, or it has just been told that it failed.
+    /// Nobody waits for this request any more: its client has disconnected or was just told that it failed.
     pub fn client_disconnected(&self, id: &RequestId) {
-        let waited = self.open.borrow_mut().get_mut(id).and_then(|o| o.answer.take());
-        if waited.is_some() {
-            self.send(Event::ClientDisconnected { request: id.clone() });
-            self.call_back(id);
+        let responder = self.open_requests.borrow_mut().take_responder(id);
+        if responder.is_some() {
+            self.abandon(id);
         }
     }
 
-    /// Ends the attempts that still wait for a connection or a descriptor. Danger: these come up at any later
-    /// time, as clients leave at the end of a stop, too, and what nobody waits for would be sent then.
-    fn call_back(&self, id: &RequestId) {
-        let open = self.open.borrow();
-        let attempts = open.get(id).into_iter().flat_map(|o| o.attempts.iter().enumerate());
-        let unsent = attempts.filter(|(_, a)| a.task.is_some() && !a.begun.get()).map(|(number, _)| number);
-        let unsent: Vec<_> = unsent.collect();
-        drop(open);
-        unsent.into_iter().for_each(|number| self.end(id, number, Outcome::NotSent, None));
+    /// Reports that nobody waits for a request, and ends its attempts that still wait for a connection or a
+    /// descriptor. They get one at any later time, also as clients leave at the end of a shutdown, and would then
+    /// send what nobody waits for.
+    fn abandon(&self, id: &RequestId) {
+        self.send(Event::ClientDisconnected { request: id.clone() });
+        let unsent = self.open_requests.borrow().unsent_attempts(id);
+        for attempt_number in unsent {
+            self.end_attempt(id, attempt_number, Outcome::NotSent);
+        }
     }
 
-    fn finish(&self, id: &RequestId, answer: FinalResponse) {
-        if let Some(sender) = self.open.borrow_mut().get_mut(id).and_then(|o| o.answer.take()) {
-            // A client that has just gone is told of by its connection.
-            let _ = sender.send(answer);
+    /// The shared handle of this event loop. It is only ever created behind one.
+    fn own(&self) -> Rc<Self> {
+        self.own.upgrade().expect("an event loop in use is held by its handle")
+    }
+
+    fn perform(&self, action: Action) {
+        match action {
+            Action::StartAttempt { request, endpoint, timeout } => {
+                self.start_attempt(request, endpoint, timeout)
+            }
+            Action::Reject { request, retry_after } => {
+                self.complete(&request, FinalResponse::Rejected { retry_after });
+            }
+            Action::Fail { request } => self.complete(&request, FinalResponse::Failed),
+            Action::CancelAttempt { request, attempt_number } => {
+                self.end_attempt(&request, attempt_number as usize, Outcome::Cancelled);
+            }
+            Action::ProbeEndpoint { endpoint } => self.probe(endpoint),
+            Action::IncrementCounter { key, amount, keep_for } => {
+                self.counter.increment(self, key, amount, keep_for);
+            }
+            Action::SetTimer { id, after } => self.set_timer(id, after),
+            Action::FetchEndpoints => self.discovery.fetch(self.own()),
+            // The list is watched from the start on.
+            Action::WatchEndpoints => {}
         }
-        self.forget(id);
     }
 
-    /// Drops a request once it has its answer and no attempt is out.
-    fn forget(&self, id: &RequestId) {
-        let mut open = self.open.borrow_mut();
-        if open.get(id).is_some_and(|o| o.answer.is_none() && o.attempts.iter().all(|a| a.task.is_none())) {
-            open.remove(id);
+    fn probe(&self, endpoint: EndpointId) {
+        let event_loop = self.own();
+        spawn_local(async move {
+            let outcome = event_loop.upstreams.probe(endpoint).await;
+            event_loop.send(Event::ProbeCompleted { endpoint, outcome });
+        });
+    }
+
+    fn set_timer(&self, id: u64, after: Micros) {
+        let event_loop = self.own();
+        spawn_local(async move {
+            sleep(Duration::from_micros(after)).await;
+            event_loop.send(Event::TimerFired { id });
+        });
+    }
+
+    /// Gives the final response to a request.
+    fn complete(&self, id: &RequestId, response: FinalResponse) {
+        let mut open_requests = self.open_requests.borrow_mut();
+        if let Some(request) = open_requests.get_mut(id) {
+            request.respond(response);
         }
+        open_requests.remove_if_settled(id);
     }
 
-    fn start_attempt(&self, id: RequestId, server: EndpointId, timeout: Micros) {
+    /// Sends a request to an endpoint, unless it is completed, has no attempt left or no time.
+    fn start_attempt(&self, id: RequestId, endpoint: EndpointId, timeout: Micros) {
         let now = self.clock.now();
-        let mut requests = self.open.borrow_mut();
-        let Some(open) = requests.get_mut(&id) else {
-            eprintln!("edge-node: an attempt for a request that is over");
+        let mut open_requests = self.open_requests.borrow_mut();
+        let Some(request) = open_requests.get_mut(&id) else {
+            eprintln!("edge-node: request {}: dropped an attempt: request already completed", id.0);
             return;
         };
-        let number = open.attempts.len();
-        let mut attempt = Attempt { server, sent: now, task: None, begun: Rc::default() };
-        if open.answer.is_none() || number >= self.try_limit || now >= open.stop {
-            open.attempts.push(attempt);
-            let finished = open.answer.is_none();
-            drop(requests);
-            let outcome = Outcome::NotSent;
-            let attempt = number as u32;
-            return self.send(Event::AttemptEnded(EndedAttempt {
-                request: id,
-                attempt_number: attempt,
-                endpoint: server,
-                outcome,
-                elapsed: 0,
-                request_completed: finished,
-                final_units: None,
-            }));
+        let attempt_number = request.attempts.len();
+        if request.may_start_attempt(now, self.max_attempts) {
+            let attempt = self.spawn_attempt(id, attempt_number, request, endpoint, timeout, now);
+            request.attempts.push(attempt);
+            return;
         }
-        let stop = if timeout > 0 { open.stop.min(now + timeout) } else { open.stop };
-        let (node, forward, begun) = (self.own(), open.forward.clone(), attempt.begun.clone());
-        let key = id.clone();
-        let task = tokio::task::spawn_local(async move {
-            let (outcome, body) = node.upstreams.attempt(&node.clock, server, &forward, stop, &begun).await;
-            node.end(&key, number, outcome, body);
+        request.attempts.push(Attempt::not_sent(endpoint, now));
+        let request_completed = request.is_completed();
+        drop(open_requests);
+        self.send(Event::AttemptEnded(EndedAttempt {
+            request: id,
+            attempt_number: attempt_number as u32,
+            endpoint,
+            outcome: Outcome::NotSent,
+            elapsed: 0,
+            request_completed,
+            final_units: None,
+        }));
+    }
+
+    fn spawn_attempt(
+        &self,
+        id: RequestId,
+        attempt_number: usize,
+        request: &OpenRequest,
+        endpoint: EndpointId,
+        timeout: Micros,
+        now: Micros,
+    ) -> Attempt {
+        let ends_at =
+            if timeout > 0 { request.attempts_end_at.min(now + timeout) } else { request.attempts_end_at };
+        let event_loop = self.own();
+        let forwarded = request.forwarded.clone();
+        let maybe_written = Rc::new(Cell::new(false));
+        let written_flag = maybe_written.clone();
+        let task = spawn_local(async move {
+            let upstreams = &event_loop.upstreams;
+            let result =
+                upstreams.attempt(&event_loop.clock, endpoint, &forwarded, ends_at, &written_flag).await;
+            event_loop.finish_attempt(&id, attempt_number, result);
         });
-        attempt.task = Some(task.abort_handle());
-        open.attempts.push(attempt);
+        Attempt { endpoint, started_at: now, task: Some(task.abort_handle()), maybe_written }
+    }
+
+    /// Ends an attempt before its endpoint has responded.
+    fn end_attempt(&self, id: &RequestId, attempt_number: usize, outcome: Outcome) {
+        self.finish_attempt(id, attempt_number, AttemptResult { outcome, body: None });
     }
 
-    /// An attempt is over; a second end of the same one is dropped. With a body, it has served the request.
-    fn end(&self, id: &RequestId, number: usize, outcome: Outcome, body: Option<Bytes>) {
-        let mut requests = self.open.borrow_mut();
-        let Some(open) = requests.get_mut(id) else { return };
-        let Some(attempt) = open.attempts.get_mut(number) else { return };
+    /// Reports the end of an attempt; a second end of the same one is dropped. With a body, the request is served.
+    fn finish_attempt(&self, id: &RequestId, attempt_number: usize, result: AttemptResult) {
+        let AttemptResult { outcome, body } = result;
+        let mut open_requests = self.open_requests.borrow_mut();
+        let Some(request) = open_requests.get_mut(id) else { return };
+        let Some(attempt) = request.attempts.get_mut(attempt_number) else { return };
         let Some(task) = attempt.task.take() else { return };
         if matches!(outcome, Outcome::Cancelled | Outcome::NotSent) {
-            // Closes the connection too: that is how an app server learns of it.
+            // Closes the connection too: that is how an endpoint learns of it.
             task.abort();
         }
-        let (server, spent) = (attempt.server, self.clock.now().saturating_sub(attempt.sent));
+        let endpoint = attempt.endpoint;
+        let elapsed = self.clock.now().saturating_sub(attempt.started_at);
         if let Some(body) = body {
-            if let Some(sender) = open.answer.take() {
-                let _ = sender.send(FinalResponse::Served(body));
-            }
+            request.respond(FinalResponse::Served(body));
         }
-        let finished = open.answer.is_none();
-        drop(requests);
-        let attempt = number as u32;
+        let request_completed = request.is_completed();
+        drop(open_requests);
         self.send(Event::AttemptEnded(EndedAttempt {
             request: id.clone(),
-            attempt_number: attempt,
-            endpoint: server,
+            attempt_number: attempt_number as u32,
+            endpoint,
             outcome,
-            elapsed: spent,
-            request_completed: finished,
+            elapsed,
+            request_completed,
             final_units: None,
         }));
     }
 }
 
 impl EventSink for EventLoop {
-    /// Actions may cause events at once; these wait until the actions of the earlier event are all done, or the
-    /// decisions would be entered twice.
+    /// Actions may cause events at once. These wait until the actions of the earlier event are all carried out, or
+    /// the decisions would be entered twice.
     fn send(&self, event: Event) {
-        self.events.borrow_mut().push_back(event);
-        if self.busy.replace(true) {
+        self.pending_events.borrow_mut().push_back(event);
+        if self.handling_events.replace(true) {
             return;
         }
         let mut actions = Vec::new();
         loop {
-            let Some(event) = self.events.borrow_mut().pop_front() else { break };
-            let over = match &event {
-                Event::AttemptEnded(e) => Some(e.request.clone()),
-                Event::ClientDisconnected { request: id } => Some(id.clone()),
-                _ => None,
-            };
-            self.controller.borrow_mut().handle(self.clock.now(), event, &mut actions);
+            let Some(event) = self.pending_events.borrow_mut().pop_front() else { break };
+            let ended_request = request_ended_by(&event);
+            self.engine.borrow_mut().handle(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
                 self.perform(action);
             }
-            if let Some(id) = over {
-                self.forget(&id);
+            if let Some(id) = ended_request {
+                self.open_requests.borrow_mut().remove_if_settled(&id);
             }
         }
-        self.busy.set(false);
+        self.handling_events.set(false);
+    }
+}
+
+/// The request that may be settled once this event is handled.
+fn request_ended_by(event: &Event) -> Option<RequestId> {
+    match event {
+        Event::AttemptEnded(ended) => Some(ended.request.clone()),
+        Event::ClientDisconnected { request } => Some(request.clone()),
+        _ => None,
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -8,5 +8,6 @@
 pub mod event_loop;
 pub mod event_sink;
 pub mod http_client;
+mod open_requests;
 pub mod shutdown_schedule;
 pub mod upstream;
--- /dev/null
+++ b/src/net/upstream/exchange.rs
@@ -0,0 +1,70 @@
+//! One request and its response on a connection to an endpoint, with the outcome that the protocol gives to it.
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::header::HeaderName;
+use hyper::{Request, StatusCode};
+
+use crate::decision::Outcome;
+use crate::net::http_client::{has_unambiguous_length, read_body, BodyError, ClientConnection, SendError};
+use crate::net::upstream::request::MAX_BODY_BYTES;
+
+/// An endpoint sets this header to `1` where it rejected a request before it ran.
+const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
+
+/// A response that was read.
+pub(super) struct Exchange {
+    /// How the request ended.
+    pub(super) outcome: Outcome,
+    /// The body, if the request was served.
+    pub(super) body: Option<Bytes>,
+    /// Whether the connection can serve another request.
+    pub(super) is_reusable: bool,
+}
+
+impl Exchange {
+    fn without_body(outcome: Outcome, is_reusable: bool) -> Self {
+        Exchange { outcome, body: None, is_reusable }
+    }
+}
+
+/// Writes a request and reads its whole response.
+///
+/// # Errors
+/// If there is no response, or one that is malformed.
+pub(super) async fn exchange(
+    connection: &mut ClientConnection,
+    message: Request<Full<Bytes>>,
+) -> Result<Exchange, SendError> {
+    let response = connection.send(message).await?;
+    if !has_unambiguous_length(&response) {
+        return Err(SendError::MalformedResponse);
+    }
+    let status = response.status();
+    let is_rejection = status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::GATEWAY_TIMEOUT;
+    let did_not_run = response.headers().get(NOT_RUN).is_some_and(|value| value == "1");
+    let body = read_body(response.into_body(), MAX_BODY_BYTES).await;
+    if is_rejection && did_not_run {
+        // The head alone says that it has not run, whatever became of the body.
+        return Ok(Exchange::without_body(Outcome::Rejected, body.is_ok()));
+    }
+    match body {
+        Err(BodyError::ConnectionBroken) => Ok(Exchange::without_body(Outcome::Reset, false)),
+        Err(BodyError::TooLong | BodyError::Malformed) => Err(SendError::MalformedResponse),
+        Ok(body) if status == StatusCode::OK => {
+            Ok(Exchange { outcome: Outcome::Ok, body: Some(body), is_reusable: true })
+        }
+        Ok(_) => Ok(Exchange::without_body(Outcome::Error, true)),
+    }
+}
+
+/// The outcome of a request that ended without a response that can be read.
+pub(super) fn outcome_of(error: &SendError) -> Outcome {
+    match error {
+        SendError::NotWritten(_) => Outcome::ConnectFailed,
+        SendError::ConnectionBroken => Outcome::Reset,
+        // Any endpoint may send a malformed response. It is alive and no worse than others, and an ejection would
+        // take it from all requests.
+        SendError::MalformedResponse => Outcome::Error,
+    }
+}
--- /dev/null
+++ b/src/net/upstream/probe.rs
@@ -0,0 +1,39 @@
+//! Probes: whether an endpoint is alive.
+
+use std::time::Duration;
+
+use http_body_util::Full;
+use hyper::header::HOST;
+use hyper::{Request, Uri};
+use tokio::time::timeout;
+
+use crate::decision::{EndpointId, Outcome};
+use crate::net::upstream::exchange::{exchange, outcome_of};
+use crate::net::upstream::pool::PooledConnection;
+use crate::net::upstream::{ConnectionChoice, Upstreams};
+
+/// How long a probe may take.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+
+impl Upstreams {
+    /// Asks an endpoint whether it is alive.
+    pub async fn probe(&self, endpoint: EndpointId) -> Outcome {
+        let Ok(pooled) = self.acquire(endpoint, ConnectionChoice::IdleOrNew, PROBE_TIMEOUT).await else {
+            return Outcome::ConnectFailed;
+        };
+        let PooledConnection { mut connection, pool, .. } = pooled;
+        let mut message = Request::new(Full::default());
+        *message.uri_mut() = Uri::from_static("/alive");
+        message.headers_mut().insert(HOST, pool.host.clone());
+        match timeout(PROBE_TIMEOUT, exchange(&mut connection, message)).await {
+            Ok(Ok(response)) => {
+                if response.is_reusable {
+                    self.keep(endpoint, connection, &pool);
+                }
+                response.outcome
+            }
+            Ok(Err(error)) => outcome_of(&error),
+            Err(_) => Outcome::TimedOut,
+        }
+    }
+}
--- a/src/net/upstream/reuse.rs
+++ b/src/net/upstream/reuse.rs
@@ -1,97 +1,118 @@
-//! How long a connection may have stood idle and still be used again, learned from how requests on it end.
+//! How long a connection may have been idle and still be used again, learned from how requests on it end.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 
-/// Idle ages are told apart by half octaves, from under a millisecond to about a minute.
-const STEPS: usize = 32;
-/// What a new connection costs, its handshake and the app server's work for it, in breaks of a request.
-const PRICE: f64 = 0.05;
-/// Breaks saved beyond the price from which on older connections are passed over.
-const EVIDENCE: f64 = 2.0;
-/// What counts are still worth a second later.
-const FADE: f64 = 0.92;
+/// Idle ages are counted by half octaves, from under a millisecond to about a minute.
+const AGE_STEPS: usize = 32;
+/// What a new connection costs, its handshake and the endpoint's work for it, in connection breaks.
+const NEW_CONNECTION_COST: f64 = 0.05;
+/// Breaks saved beyond the cost of new connections from which on older connections are not used.
+const MIN_SAVED_BREAKS: f64 = 2.0;
+/// What a count is still worth a second later.
+const DECAY_PER_SECOND: f64 = 0.92;
 
-/// Requests that ended on connections of one age, and those that a break ended before a byte came back.
+/// Requests that ended on connections of one age, and those of them that a break ended before a byte came back.
 #[derive(Clone, Copy, Default)]
-struct Ends {
-    all: f64,
+struct EndedRequests {
+    total: f64,
     broken: f64,
 }
 
-/// The age up to which connections are used again. Danger: app servers, or what lies before them, that drop
-/// idle connections long before they say so. The end shows only once a request has been written, and what may
-/// have run is lost. Guards too against a middlebox that forgets its idle flows. It does harm where old
-/// connections break by chance for a while: each request then pays for a new one until the counts have faded.
-pub struct Reuse {
-    fresh: Cell<Ends>,
-    aged: RefCell<[Ends; STEPS]>,
-    /// Ages from this step on are not used again.
+impl EndedRequests {
+    fn add(&mut self, broke: bool) {
+        self.total += 1.0;
+        self.broken += f64::from(u8::from(broke));
+    }
+
+    fn decay(&mut self) {
+        self.total *= DECAY_PER_SECOND;
+        self.broken *= DECAY_PER_SECOND;
+    }
+}
+
+/// The age up to which idle connections are used again.
+///
+/// Endpoints, or a middlebox before them, may drop idle connections long before they say so. That shows only once a
+/// request has been written, and one that may have run is lost. Where old connections break by chance for a while,
+/// each request pays for a new one until the counts have decayed.
+pub struct ReuseLimit {
+    new_connections: Cell<EndedRequests>,
+    by_age: RefCell<[EndedRequests; AGE_STEPS]>,
+    /// Connections of this age step and older are not used again.
     limit: Cell<usize>,
 }
 
-impl Default for Reuse {
+impl Default for ReuseLimit {
     fn default() -> Self {
-        Reuse::new()
+        ReuseLimit::new()
     }
 }
 
-impl Reuse {
-    /// Nothing is known yet: any age will do.
+impl ReuseLimit {
+    /// Nothing is known yet: connections of any age are used again.
     pub fn new() -> Self {
-        Reuse { fresh: Cell::default(), aged: RefCell::default(), limit: Cell::new(STEPS) }
+        ReuseLimit {
+            new_connections: Cell::default(),
+            by_age: RefCell::default(),
+            limit: Cell::new(AGE_STEPS),
+        }
     }
 
-    /// Whether a connection that has stood idle for so long should be used again.
-    pub fn allows(&self, idle: Duration) -> bool {
-        step(idle) < self.limit.get()
+    /// Whether a connection that has been idle for this long should be used again.
+    pub fn allows(&self, idle_for: Duration) -> bool {
+        age_step(idle_for) < self.limit.get()
     }
 
-    /// A request on a connection of this idle age (none: a new one) ended, by a break before any answer or not.
-    pub fn ended(&self, idle: Option<Duration>, broken: bool) {
-        let add = |e: &mut Ends| {
-            e.all += 1.0;
-            e.broken += f64::from(u8::from(broken));
-        };
-        match idle {
-            Some(idle) => add(&mut self.aged.borrow_mut()[step(idle)]),
+    /// A request ended on a connection of this idle age (none: a new one). `broke`: the connection broke before any
+    /// byte of the response.
+    pub fn request_ended(&self, idle_for: Option<Duration>, broke: bool) {
+        match idle_for {
+            Some(idle_for) => self.by_age.borrow_mut()[age_step(idle_for)].add(broke),
             None => {
-                let mut fresh = self.fresh.get();
-                add(&mut fresh);
-                self.fresh.set(fresh);
+                let mut ended = self.new_connections.get();
+                ended.add(broke);
+                self.new_connections.set(ended);
             }
         }
-        if broken {
-            self.judge();
+        if broke {
+            self.update_limit();
         }
     }
 
-    /// A second has passed. What is no longer used is no longer counted: as counts fade, it is tried again.
-    pub fn fade(&self) {
-        let fade = |e: &mut Ends| *e = Ends { all: e.all * FADE, broken: e.broken * FADE };
-        let mut fresh = self.fresh.get();
-        fade(&mut fresh);
-        self.fresh.set(fresh);
-        self.aged.borrow_mut().iter_mut().for_each(fade);
-        self.judge();
+    /// A second has passed. Ages that are not used any more are not counted any more, either: as their counts decay
+    /// they are tried again.
+    pub fn decay(&self) {
+        let mut ended = self.new_connections.get();
+        ended.decay();
+        self.new_connections.set(ended);
+        for ended in self.by_age.borrow_mut().iter_mut() {
+            ended.decay();
+        }
+        self.update_limit();
     }
 
-    /// The age from which on new connections save the most breaks, less their price; none if too few are seen.
-    fn judge(&self) {
-        let fresh = self.fresh.get();
-        let price = fresh.broken / (fresh.all + 1.0) + PRICE;
-        let (mut saved, mut most, mut limit) = (0.0, EVIDENCE, STEPS);
-        for (step, ends) in self.aged.borrow().iter().enumerate().rev() {
-            saved += ends.broken - price * ends.all;
-            if saved > most {
-                (most, limit) = (saved, step);
+    /// Sets the limit to the age from which on new connections save the most breaks beyond their cost; to none if
+    /// they save too few.
+    fn update_limit(&self) {
+        let new_connections = self.new_connections.get();
+        let cost = new_connections.broken / (new_connections.total + 1.0) + NEW_CONNECTION_COST;
+        let mut saved = 0.0;
+        let mut most_saved = MIN_SAVED_BREAKS;
+        let mut limit = AGE_STEPS;
+        for (step, ended) in self.by_age.borrow().iter().enumerate().rev() {
+            saved += ended.broken - cost * ended.total;
+            if saved > most_saved {
+                most_saved = saved;
+                limit = step;
             }
         }
         self.limit.set(limit);
     }
 }
 
-fn step(idle: Duration) -> usize {
-    let steps = 2.0 * (idle.as_secs_f64() * 1e3).max(1.0).log2();
-    (steps as usize).min(STEPS - 1)
+fn age_step(idle_for: Duration) -> usize {
+    let idle_ms = (idle_for.as_secs_f64() * 1e3).max(1.0);
+    let step = (2.0 * idle_ms.log2()) as usize;
+    step.min(AGE_STEPS - 1)
 }
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -555,7 +555,7 @@
         if let Some(seen) = watch(agent, version) {
             send(seen, text);
         }
-        node.upstreams.replacing().then_some(())
+        node.upstreams.is_replacing_endpoints().then_some(())
     })
     .await;
 }
@@ -565,7 +565,7 @@
     let mut turns = 0;
     until(|| {
         turns += 1;
-        (!node.upstreams.replacing()).then_some(turns)
+        (!node.upstreams.is_replacing_endpoints()).then_some(turns)
     })
     .await
 }
@@ -602,7 +602,7 @@
                 body: bytes::Bytes::new(),
             };
             let (server, stop) = (number_of(number), node.clock.now() + 20_000_000);
-            node.upstreams.attempt(&node.clock, server, &forward, stop, &Cell::new(false)).await.0
+            node.upstreams.attempt(&node.clock, server, &forward, stop, &Cell::new(false)).await.outcome
         })
     };
     let tasks: Vec<_> = numbers.iter().map(attempt).collect();
@@ -641,7 +641,7 @@
         let outcomes = attempts(&node, &numbers, &[(&first, 2), (&second, 2)]).await;
         assert_eq!(outcomes[..4], [Outcome::Ok; 4], "gone but not told so yet, new, moved");
         assert_eq!(outcomes[4], Outcome::ConnectFailed);
-        assert!(node.upstreams.replacing(), "all of this between two parts");
+        assert!(node.upstreams.is_replacing_endpoints(), "all of this between two parts");
         to_the_end(&node).await;
         let outcomes = attempts(&node, &[7, 8, SOME + 7], &[(&second, 1)]).await;
         assert_eq!(outcomes, [Outcome::ConnectFailed, Outcome::ConnectFailed, Outcome::Ok]);
@@ -661,7 +661,7 @@
         }
         let same = many(4, SOME, &app, &[]);
         let next = until(|| {
-            assert!(!node.upstreams.replacing(), "the same list again");
+            assert!(!node.upstreams.is_replacing_endpoints(), "the same list again");
             let seen = arrived(&agent)?;
             if seen.message.first.contains("after=3&") {
                 send(seen, &same);
@@ -683,7 +683,7 @@
         halfway(&node, &agent, 0, &text).await;
         discovery.move_to(&events(&node), other.address);
         let call = next_call(&other).await;
-        assert!(node.upstreams.replacing(), "moved between two parts");
+        assert!(node.upstreams.is_replacing_endpoints(), "moved between two parts");
         to_the_end(&node).await;
         assert_eq!(node.upstreams.endpoints().len(), SOME);
         call.spoil(b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
@@ -713,7 +713,7 @@
             discovery.fetch(node.clone());
             send(next_call(&agent).await, &other);
             turns().await;
-            assert!(node.upstreams.replacing(), "told between two parts");
+            assert!(node.upstreams.is_replacing_endpoints(), "told between two parts");
             let found = |number| node.upstreams.endpoints().find(&name(number)).is_some();
             assert!(found(0) && !found(SOME), "taken in between two parts");
             to_the_end(&node).await;
@@ -743,7 +743,7 @@
             })
         };
         let first = take_in(0);
-        until(|| node.upstreams.replacing().then_some(())).await;
+        until(|| node.upstreams.is_replacing_endpoints().then_some(())).await;
         let second = take_in(SOME);
         tokio::task::yield_now().await;
         // The task that has a list made ready and the thread that does so hold on to what it is made ready beside.
@@ -753,10 +753,10 @@
         }
         turns().await;
         let found = |number| node.upstreams.endpoints().find(&name(number)).is_some();
-        assert!(node.upstreams.replacing() && found(0) && !found(SOME));
+        assert!(node.upstreams.is_replacing_endpoints() && found(0) && !found(SOME));
         assert!(first.await.expect("no panic").expect("taken in"));
         assert!(second.await.expect("no panic").expect("taken in"));
-        assert!(!node.upstreams.replacing() && !found(0) && found(SOME));
+        assert!(!node.upstreams.is_replacing_endpoints() && !found(0) && found(SOME));
     });
 }
 
