--- a/src/main.rs
+++ b/src/main.rs
@@ -19,8 +19,8 @@
 
 use edge_node::net::counter::CounterClient;
 use edge_node::net::descriptor_budget::DescriptorBudget;
-use edge_node::net::discovery::endpoints::Places;
-use edge_node::net::discovery::parser::List;
+use edge_node::net::discovery::labels::PlacementLabels;
+use edge_node::net::discovery::parser::EndpointList;
 use edge_node::net::discovery::{Discovery, WatchSchedule};
 use edge_node::net::downstream::{DownstreamServer, Rules};
 use edge_node::net::event_loop::EventLoop;
@@ -42,7 +42,7 @@
     #[serde(default)]
     limits: Limits,
     #[serde(default)]
-    known: List,
+    known: EndpointList,
     settings: SettingsDocument,
 }
 
@@ -143,7 +143,7 @@
     let counter = CounterClient::new(counter.filter(|_| settings.counter.enabled), settings.counter.timeout);
     let pace = WatchSchedule::new(seed, settings.node_count, settings.polls_endpoint_list);
     let agent = !settings.polls_endpoint_list;
-    let discovery = Discovery::new(discovery, servers.clone(), Places::new(zones, kinds), pace);
+    let discovery = Discovery::new(discovery, servers.clone(), PlacementLabels::new(zones, kinds), pace);
     let try_limit = settings.limits.max_attempts;
     let controller = DecisionEngine::new(seed, settings);
     let node = EventLoop::new(controller, try_limit, servers, counter.clone(), discovery.clone());
--- a/src/net/discovery/apply.rs
+++ b/src/net/discovery/apply.rs
@@ -1,45 +1,45 @@
-//! How a list of any length is taken in: short ones on the spot, long ones beside the requests and in parts.
+//! How a list of any length is applied: short ones at once, long ones prepared on a thread of their own and published
+//! in parts.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
 
-use crate::decision::{EndpointEntry, EndpointId, EndpointUpdateKind, Event};
 use tokio::sync::{watch, Mutex};
 use tokio::task::{spawn_blocking, spawn_local, yield_now, JoinError};
 
+use crate::decision::{EndpointEntry, EndpointId, EndpointUpdateKind, Event};
+use crate::net::discovery::delta::parts;
 use crate::net::discovery::directory::EndpointDirectory;
-use crate::net::discovery::endpoints::{Endpoints, Places, Renewed};
-use crate::net::discovery::parser::{Faults, List};
+use crate::net::discovery::endpoints::Endpoints;
+use crate::net::discovery::labels::PlacementLabels;
+use crate::net::discovery::parser::{EndpointList, ListFaults};
+use crate::net::discovery::snapshot::AppliedList;
 use crate::net::event_sink::EventSink;
 
-/// Texts up to this long are taken in on the spot. Danger: requests wait meanwhile, and a list of 46,000 app
-/// servers takes tens of milliseconds; longer ones are made ready on a thread of their own.
-pub const DIRECT_MOST: usize = 64 * 1024;
-/// So many app servers are forgotten on the spot.
-const DIRECT_ENTRIES: usize = 500;
-/// The decisions are told of so many entries of a long list's delta at a time. Danger: a request may wait for a part
-/// in each of the some six turns that it needs. At 46,000 app servers one takes 0.05 to 0.2 ms; half as many entries
-/// take two thirds of the time, since each part goes through the ring, and four times as many 0.5 ms.
-pub const PART: usize = 256;
+/// Longest text of a list, in bytes, that is applied at once. Requests wait meanwhile, and a list of 46,000 endpoints
+/// takes tens of milliseconds; longer ones are prepared on a thread of their own.
+pub const MAX_INLINE_BYTES: usize = 64 * 1024;
+/// Most endpoints that are dropped at once.
+const MAX_INLINE_DROP: usize = 500;
 
-/// A list as it has come, and whether it is so long that it is made ready on a thread of its own.
-pub struct Told {
+/// A list as it was received.
+pub struct ReceivedList {
     /// The list.
-    pub list: List,
-    /// Whether it is long.
-    pub long: bool,
+    pub list: EndpointList,
+    /// Whether it is so long that it is prepared on a thread of its own.
+    pub is_long: bool,
 }
 
-impl Told {
-    /// Reads the text of a list, a long one beside the requests.
+impl ReceivedList {
+    /// Reads the text of a list, a long one on a thread of its own.
     ///
     /// # Errors
-    /// If that thread fails; within, if it is no list.
-    pub async fn read(text: Vec<u8>) -> Result<serde_json::Result<Told>, JoinError> {
-        let long = text.len() > DIRECT_MOST;
-        let read = move || List::read(&text).map(|list| Told { list, long });
-        if long {
+    /// If that thread fails; within, if the text is no list.
+    pub async fn read(text: Vec<u8>) -> Result<serde_json::Result<ReceivedList>, JoinError> {
+        let is_long = text.len() > MAX_INLINE_BYTES;
+        let read = move || EndpointList::read(&text).map(|list| ReceivedList { list, is_long });
+        if is_long {
             spawn_blocking(read).await
         } else {
             Ok(read())
@@ -47,223 +47,257 @@
     }
 }
 
-/// When something was asked or begun: after which move of discovery, and after how many lists.
+/// What became of a list.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ApplyOutcome {
+    /// It was applied.
+    Applied,
+    /// It was dropped: discovery has moved meanwhile, or a newer list was applied.
+    Superseded,
+}
+
+/// A point in the history of the list: after which move of discovery, and after how many lists.
 #[derive(Clone, Copy, PartialEq)]
-struct Moment {
-    epoch: u64,
-    taken: u64,
+struct ListRevision {
+    moves: u64,
+    applied_lists: u64,
 }
 
-/// What a long list comes to, worked out beside the requests.
-struct Update {
+/// A long list applied to the endpoints known now, worked out beside the requests.
+struct PreparedUpdate {
     endpoints: Endpoints,
     stale: Vec<EndpointId>,
-    faults: Faults,
+    faults: ListFaults,
     parts: Vec<Vec<EndpointEntry>>,
 }
 
-impl Update {
-    fn new(known: &Endpoints, list: &List, kind: EndpointUpdateKind, places: &Places) -> Self {
-        let Renewed { endpoints, stale, faults, .. } = made_ready(known, list, kind, places);
-        let parts = parts(&endpoints.delta(known));
-        Update { endpoints, stale, faults, parts }
+impl PreparedUpdate {
+    fn new(
+        known: &Endpoints,
+        list: &EndpointList,
+        kind: EndpointUpdateKind,
+        labels: &PlacementLabels,
+    ) -> Self {
+        let applied = apply_to(known, list, kind, labels);
+        let parts = parts(&applied.endpoints.delta_since(known));
+        PreparedUpdate { endpoints: applied.endpoints, stale: applied.stale, faults: applied.faults, parts }
     }
 }
 
-/// The parts in which the decisions are told of a delta.
-pub fn parts(delta: &[EndpointEntry]) -> Vec<Vec<EndpointEntry>> {
-    delta.chunks(PART).map(<[EndpointEntry]>::to_vec).collect()
-}
-
-/// Takes in lists, one at a time, and knows the version of what has been taken in.
-pub struct Intake {
+/// Applies lists, one at a time, and knows the version of what was applied.
+pub struct ListApplier {
     directory: Rc<dyn EndpointDirectory>,
-    places: Arc<Places>,
-    /// The newest version taken in. Versions are an agent's own; none is known of a new one.
+    labels: Arc<PlacementLabels>,
+    /// The newest version applied. Versions are an agent's own; none is known of a new one.
     version: Cell<Option<u64>>,
     /// How often discovery has moved: what was asked before a move says nothing after it.
-    epoch: Cell<u64>,
-    /// How many lists have been taken in.
-    taken: Cell<u64>,
-    /// Held by the one long list that is being made ready or told.
-    turn: Mutex<()>,
-    /// Whether the decisions are being told of one in parts.
-    telling: watch::Sender<bool>,
-    /// Whether discovery has told anything since the start.
-    heard: watch::Sender<bool>,
+    moves: Cell<u64>,
+    applied_lists: Cell<u64>,
+    /// Held by the one long list that is being prepared or published.
+    long_list_turn: Mutex<()>,
+    /// Whether the decisions are being notified of a list in parts.
+    is_publishing: watch::Sender<bool>,
+    /// Whether discovery has sent anything since the start.
+    first_snapshot: watch::Sender<bool>,
 }
 
-impl Intake {
+impl ListApplier {
     /// Nothing is known yet.
-    pub fn new(directory: Rc<dyn EndpointDirectory>, places: Places) -> Rc<Self> {
-        Rc::new(Intake {
+    pub fn new(directory: Rc<dyn EndpointDirectory>, labels: PlacementLabels) -> Rc<Self> {
+        Rc::new(ListApplier {
             directory,
-            places: Arc::new(places),
+            labels: Arc::new(labels),
             version: Cell::default(),
-            epoch: Cell::default(),
-            taken: Cell::default(),
-            turn: Mutex::default(),
-            telling: watch::channel(false).0,
-            heard: watch::channel(false).0,
+            moves: Cell::default(),
+            applied_lists: Cell::default(),
+            long_list_turn: Mutex::default(),
+            is_publishing: watch::channel(false).0,
+            first_snapshot: watch::channel(false).0,
         })
     }
 
-    /// The newest version taken in, of this agent's.
+    /// The newest version applied, of this agent's.
     pub fn version(&self) -> Option<u64> {
         self.version.get()
     }
 
     /// How often discovery has moved.
-    pub fn epoch(&self) -> u64 {
-        self.epoch.get()
+    pub fn moves(&self) -> u64 {
+        self.moves.get()
     }
 
-    /// Discovery moves: nothing is known of the new agent's versions.
-    pub fn moved(&self) {
-        self.epoch.set(self.epoch.get() + 1);
+    /// Discovery has moved: no version of the new agent is known.
+    pub fn discovery_moved(&self) {
+        self.moves.set(self.moves.get() + 1);
         self.version.set(None);
     }
 
-    /// Notes a version that brings nothing new.
-    pub fn note(&self, version: u64) {
+    /// Notes a version that brings no change.
+    pub fn note_version(&self, version: u64) {
         self.version.set(self.version.get().max(Some(version)));
-        self.hear();
+        self.signal_first_snapshot();
     }
 
-    /// Comes back once discovery has told what it holds.
-    pub async fn heard(&self) {
+    /// Returns once discovery has sent what it holds.
+    pub async fn first_snapshot_received(&self) {
         // The sender lives as long as this does.
-        let _ = self.heard.subscribe().wait_for(|&heard| heard).await;
+        let _ = self.first_snapshot.subscribe().wait_for(|&is_received| is_received).await;
     }
 
-    fn hear(&self) {
-        self.heard.send_if_modified(|heard| !std::mem::replace(heard, true));
+    fn signal_first_snapshot(&self) {
+        self.first_snapshot.send_if_modified(|is_received| !std::mem::replace(is_received, true));
     }
 
-    fn moment(&self) -> Moment {
-        Moment { epoch: self.epoch.get(), taken: self.taken.get() }
+    fn revision(&self) -> ListRevision {
+        ListRevision { moves: self.moves.get(), applied_lists: self.applied_lists.get() }
     }
 
-    /// Whether a move or a newer list has overtaken what came at this moment.
-    fn overtaken(&self, came: Moment, version: u64) -> bool {
-        came.epoch != self.epoch.get() || came != self.moment() && Some(version) < self.version.get()
+    /// Whether a list received at this revision is out of date: after a move, or a newer list.
+    fn is_superseded(&self, received_at: ListRevision, version: u64) -> bool {
+        let discovery_moved = received_at.moves != self.moves.get();
+        let newer_list_applied = received_at != self.revision() && Some(version) < self.version.get();
+        discovery_moved || newer_list_applied
     }
 
-    /// Takes in a list of any length. False if it was overtaken meanwhile: by a move, or by a newer list.
+    /// Applies a list of any length.
     ///
     /// # Errors
-    /// If the thread beside the requests fails.
-    pub async fn take_in(
+    /// If the thread that prepares a long one fails.
+    pub async fn apply(
         self: &Rc<Self>,
         events: &Rc<dyn EventSink>,
-        told: Told,
+        received: ReceivedList,
         kind: EndpointUpdateKind,
-    ) -> Result<bool, JoinError> {
-        let came = self.moment();
-        if told.long {
-            // Danger: a move ends the watch that has brought this list, and half of it would be taken in.
-            return spawn_local(self.clone().take_in_parts(events.clone(), told.list, kind, came)).await?;
+    ) -> Result<ApplyOutcome, JoinError> {
+        let received_at = self.revision();
+        if received.is_long {
+            // In a task of its own: a move ends the watch that has brought this list, and half of it would be
+            // applied.
+            let applier = self.clone();
+            return spawn_local(applier.apply_long(events.clone(), received.list, kind, received_at)).await?;
         }
-        // Danger: the later parts of a long list would undo what came between two of them.
-        if *self.telling.borrow() {
-            let _ = self.telling.subscribe().wait_for(|&telling| !telling).await;
+        // The later parts of a long list would undo what is applied between two of them.
+        if *self.is_publishing.borrow() {
+            let _ = self.is_publishing.subscribe().wait_for(|&is_publishing| !is_publishing).await;
         }
-        let current = !self.overtaken(came, told.list.version);
-        if current {
-            self.take(events.as_ref(), &told.list, kind);
+        if self.is_superseded(received_at, received.list.version) {
+            return Ok(ApplyOutcome::Superseded);
         }
-        Ok(current)
+        self.apply_inline(events.as_ref(), &received.list, kind);
+        Ok(ApplyOutcome::Applied)
     }
 
-    async fn take_in_parts(
+    /// Applies a long list: prepares it on another thread until nothing has changed meanwhile, then publishes it.
+    async fn apply_long(
         self: Rc<Self>,
         events: Rc<dyn EventSink>,
-        list: List,
+        list: EndpointList,
         kind: EndpointUpdateKind,
-        came: Moment,
-    ) -> Result<bool, JoinError> {
-        let _turn = self.turn.lock().await;
+        received_at: ListRevision,
+    ) -> Result<ApplyOutcome, JoinError> {
+        let _turn = self.long_list_turn.lock().await;
         let list = Arc::new(list);
-        while !self.overtaken(came, list.version) {
+        while !self.is_superseded(received_at, list.version) {
             let known = self.directory.endpoints();
-            let update = {
-                let (list, known, places) = (list.clone(), known.clone(), self.places.clone());
-                spawn_blocking(move || Update::new(&known, &list, kind, &places)).await?
-            };
-            // Danger: what was made ready beside something else would undo what has come since.
-            if !self.directory.is_current(&known) || self.overtaken(came, list.version) {
-                let_go((known, update));
+            let update = self.prepare(&known, &list, kind).await?;
+            // What was prepared beside something else would undo what has been applied since.
+            if !self.directory.is_current(&known) || self.is_superseded(received_at, list.version) {
+                drop_in_background((known, update));
                 continue;
             }
             let version = list.version;
-            list.faults().lines().chain(update.faults.lines()).for_each(log);
-            let_go((list, known));
-            self.tell(events.as_ref(), update, came.epoch, version).await;
-            return Ok(true);
+            log_faults(list.faults());
+            log_faults(&update.faults);
+            drop_in_background((list, known));
+            self.publish(events.as_ref(), update, received_at.moves, version).await;
+            return Ok(ApplyOutcome::Applied);
         }
-        let_go(list);
-        Ok(false)
+        drop_in_background(list);
+        Ok(ApplyOutcome::Superseded)
     }
 
-    /// Puts an update in the place of what was known, and tells the decisions of it in parts.
-    async fn tell(&self, events: &dyn EventSink, update: Update, epoch: u64, version: u64) {
-        self.telling.send_replace(true);
+    async fn prepare(
+        &self,
+        known: &Arc<Endpoints>,
+        list: &Arc<EndpointList>,
+        kind: EndpointUpdateKind,
+    ) -> Result<PreparedUpdate, JoinError> {
+        let known = known.clone();
+        let list = list.clone();
+        let labels = self.labels.clone();
+        spawn_blocking(move || PreparedUpdate::new(&known, &list, kind, &labels)).await
+    }
+
+    /// Replaces the endpoints known before, and notifies the decisions of the change in parts.
+    async fn publish(&self, events: &dyn EventSink, update: PreparedUpdate, moves: u64, version: u64) {
+        self.is_publishing.send_replace(true);
         self.directory.replace(update.endpoints, &update.stale);
         for entries in update.parts {
             events.send(Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, entries });
-            // Requests that are ready go first, and what sockets have to say is read.
+            // Requests that are ready go first, and what has arrived on sockets is read.
             yield_now().await;
         }
-        let_go(self.directory.finish_replacement());
-        self.telling.send_replace(false);
-        // Danger: the versions of a new agent have nothing to do with the old one's.
-        self.end(if self.epoch.get() == epoch { Some(version) } else { self.version.get() });
-        self.hear();
+        drop_in_background(self.directory.finish_replacement());
+        self.is_publishing.send_replace(false);
+        // The versions of a new agent have nothing to do with the old one's.
+        let is_same_agent = self.moves.get() == moves;
+        self.list_applied(if is_same_agent { Some(version) } else { self.version.get() });
+        self.signal_first_snapshot();
     }
 
-    /// Takes in a list on the spot.
-    pub fn take(&self, events: &dyn EventSink, list: &List, kind: EndpointUpdateKind) {
-        list.faults().lines().for_each(log);
+    /// Applies a list at once, however long.
+    pub fn apply_inline(&self, events: &dyn EventSink, list: &EndpointList, kind: EndpointUpdateKind) {
+        log_faults(list.faults());
         let entries = if kind == EndpointUpdateKind::Delta {
-            let applied = self.directory.apply_delta(list.entries(), &self.places);
-            applied.faults.lines().for_each(log);
+            let applied = self.directory.apply_delta(list.entries(), &self.labels);
+            log_faults(&applied.faults);
             applied.entries
         } else {
-            let made = made_ready(&self.directory.endpoints(), list, kind, &self.places);
-            made.faults.lines().for_each(log);
-            self.directory.replace(made.endpoints, &made.stale);
-            let before = self.directory.finish_replacement();
-            if before.as_ref().is_some_and(|before| before.len() > DIRECT_ENTRIES) {
-                let_go(before);
-            }
-            made.members
+            self.replace_inline(list, kind)
         };
-        self.end(Some(list.version));
+        self.list_applied(Some(list.version));
         events.send(Event::EndpointsUpdated { kind, entries });
         if kind != EndpointUpdateKind::StaleSnapshot {
-            self.hear();
+            self.signal_first_snapshot();
         }
     }
 
-    /// A list has been taken in.
-    fn end(&self, version: Option<u64>) {
+    fn replace_inline(&self, list: &EndpointList, kind: EndpointUpdateKind) -> Vec<EndpointEntry> {
+        let applied = apply_to(&self.directory.endpoints(), list, kind, &self.labels);
+        log_faults(&applied.faults);
+        self.directory.replace(applied.endpoints, &applied.stale);
+        let previous = self.directory.finish_replacement();
+        if previous.as_ref().is_some_and(|previous| previous.len() > MAX_INLINE_DROP) {
+            drop_in_background(previous);
+        }
+        applied.entries
+    }
+
+    fn list_applied(&self, version: Option<u64>) {
         self.version.set(version);
-        self.taken.set(self.taken.get() + 1);
+        self.applied_lists.set(self.applied_lists.get() + 1);
     }
 }
 
-fn made_ready(known: &Endpoints, list: &List, kind: EndpointUpdateKind, places: &Places) -> Renewed {
+fn apply_to(
+    known: &Endpoints,
+    list: &EndpointList,
+    kind: EndpointUpdateKind,
+    labels: &PlacementLabels,
+) -> AppliedList {
     match kind {
-        EndpointUpdateKind::Delta => known.changed(list.entries(), places),
-        _ => known.renewed(list.entries(), places),
+        EndpointUpdateKind::Delta => known.with_delta(list.entries(), labels),
+        _ => known.with_snapshot(list.entries(), labels),
     }
 }
 
-fn log(fault: String) {
-    eprintln!("edge-node: discovery: {fault}");
+fn log_faults(faults: &ListFaults) {
+    for fault in faults.lines() {
+        eprintln!("edge-node: discovery: {fault}");
+    }
 }
 
-/// Drops what may be long. Danger: to free tens of thousands of entries holds up requests, too.
-fn let_go<T: Send + 'static>(what: T) {
-    spawn_blocking(move || drop(what));
+/// Drops what may be long on another thread: to free tens of thousands of entries holds up requests, too.
+fn drop_in_background<T: Send + 'static>(value: T) {
+    spawn_blocking(move || drop(value));
 }
--- /dev/null
+++ b/src/net/discovery/endpoint_id.rs
@@ -0,0 +1,35 @@
+//! The id of an endpoint, derived from its name.
+
+use crate::decision::EndpointId;
+
+/// How a name gives an id.
+pub type IdFunction = fn(&str) -> EndpointId;
+
+const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
+const FNV_PRIME: u32 = 0x0100_0193;
+
+/// An endpoint's id, from its name alone, so that all nodes agree on it and on the order of all.
+///
+/// The high half is FNV-1a of the name, the low half Jenkins's one-at-a-time, which has nothing in common with it.
+/// With the high half alone two of 46,000 names would share an id one time in four.
+pub fn endpoint_id(name: &str) -> EndpointId {
+    let high = fnv_1a(name.as_bytes());
+    let low = one_at_a_time(name.as_bytes());
+    EndpointId(u64::from(high) << 32 | u64::from(low))
+}
+
+fn fnv_1a(bytes: &[u8]) -> u32 {
+    bytes.iter().fold(FNV_OFFSET_BASIS, |hash, &byte| (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME))
+}
+
+fn one_at_a_time(bytes: &[u8]) -> u32 {
+    let mut hash = 0_u32;
+    for &byte in bytes {
+        hash = hash.wrapping_add(byte.into());
+        hash = hash.wrapping_add(hash << 10);
+        hash ^= hash >> 6;
+    }
+    hash = hash.wrapping_add(hash << 3);
+    hash ^= hash >> 11;
+    hash.wrapping_add(hash << 15)
+}
--- /dev/null
+++ b/src/net/discovery/list_client.rs
@@ -0,0 +1,89 @@
+//! Calls to discovery over HTTP: a request for a list, and its response read to the end.
+
+use std::cell::Cell;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::{BodyExt, Full};
+use hyper::body::{Body, Incoming};
+use hyper::header::HOST;
+use hyper::{Request, Response, StatusCode};
+use tokio::time::Instant;
+
+use crate::net::discovery::apply::ReceivedList;
+use crate::net::discovery::error::{DiscoveryError, MAX_LIST_BYTES};
+use crate::net::discovery::timeout::{finish_by, WatchTimeout};
+use crate::net::http_client::ClientConnection;
+
+/// Calls discovery at an address that may change.
+pub(super) struct ListClient {
+    pub(super) address: Cell<SocketAddr>,
+}
+
+impl ListClient {
+    /// Asks for a list. Discovery may stay silent for `wait`, and take as long as the list goes on arriving within
+    /// the limits of [`WatchTimeout`]. The connection is used if it is open, and kept after success.
+    pub(super) async fn call(
+        &self,
+        connection: &mut Option<ClientConnection>,
+        path: &str,
+        wait: Duration,
+    ) -> Result<ReceivedList, DiscoveryError> {
+        let timeout = WatchTimeout::new(Instant::now(), wait);
+        let send = self.send(connection.take(), path);
+        let sent = finish_by(timeout.deadline(), send).await.ok_or(DiscoveryError::TimedOut)?;
+        let (used_connection, response) = sent?;
+        let status = response.status();
+        let text = read_text(response.into_body(), timeout).await?;
+        if status != StatusCode::OK {
+            return Err(DiscoveryError::Status(status));
+        }
+        *connection = Some(used_connection);
+        let received = ReceivedList::read(text).await.map_err(DiscoveryError::Worker)?;
+        let received = received.map_err(DiscoveryError::Malformed)?;
+        if received.list.is_usable() {
+            Ok(received)
+        } else {
+            Err(DiscoveryError::NoReadableEntry)
+        }
+    }
+
+    /// Sends a request and waits for the head of its response.
+    async fn send(
+        &self,
+        kept: Option<ClientConnection>,
+        path: &str,
+    ) -> Result<(ClientConnection, Response<Incoming>), DiscoveryError> {
+        let mut connection = match kept.filter(ClientConnection::is_open) {
+            Some(connection) => connection,
+            None => ClientConnection::open(self.address.get(), ()).await.map_err(DiscoveryError::Connect)?,
+        };
+        let request = Request::get(path)
+            .header(HOST, self.address.get().to_string())
+            .body(Full::<Bytes>::default())
+            .map_err(DiscoveryError::InvalidRequest)?;
+        let response = connection.send(request).await.map_err(DiscoveryError::Send)?;
+        Ok((connection, response))
+    }
+}
+
+/// Reads the text of a list.
+async fn read_text(mut body: Incoming, timeout: WatchTimeout) -> Result<Vec<u8>, DiscoveryError> {
+    let announced_bytes = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
+    if announced_bytes > MAX_LIST_BYTES {
+        return Err(DiscoveryError::TooLong);
+    }
+    let mut text = Vec::with_capacity(announced_bytes);
+    let mut deadline = timeout.deadline();
+    while let Some(frame) = finish_by(deadline, body.frame()).await.ok_or(DiscoveryError::TimedOut)? {
+        let frame = frame.map_err(DiscoveryError::Body)?;
+        let Ok(data) = frame.into_data() else { continue };
+        if text.len() + data.len() > MAX_LIST_BYTES {
+            return Err(DiscoveryError::TooLong);
+        }
+        text.extend_from_slice(&data);
+        deadline = timeout.deadline_after_bytes(Instant::now());
+    }
+    Ok(text)
+}
--- a/src/net/discovery/parser.rs
+++ b/src/net/discovery/parser.rs
@@ -1,4 +1,4 @@
-//! The list of app servers as discovery tells it: read entry by entry, so that a malformed one hides no other.
+//! The endpoint list as discovery sends it: read entry by entry, so that a malformed one hides no other.
 
 use std::borrow::Cow;
 use std::collections::BTreeSet;
@@ -12,57 +12,57 @@
 
 use crate::decision::EndpointState;
 
-/// So many of a list's faults are told one by one, the others by their number. Danger: a list with a fault in each
-/// entry would fill the log.
-pub const FAULTS_TOLD: usize = 5;
+/// Faults of one list that are logged one by one; of the others only their number is logged. A list with a fault in
+/// each entry would fill the log.
+pub const MAX_LOGGED_FAULTS: usize = 5;
 
-/// A list of app servers, or what has changed in it.
+/// A list of endpoints, or a delta of it.
 #[derive(Deserialize, Default)]
-pub struct List {
+pub struct EndpointList {
     /// The version, as the agent counts.
     #[serde(rename = "index")]
     pub version: u64,
     /// Whether it is the whole list, and not a delta.
-    #[serde(default)]
-    pub snapshot: bool,
-    endpoints: Option<Entries>,
+    #[serde(rename = "snapshot", default)]
+    pub is_snapshot: bool,
+    endpoints: Option<ParsedEntries>,
 }
 
-impl List {
-    /// Reads the text of a list.
+impl EndpointList {
+    /// Reads the text of a list. An entry that cannot be read is left out and counted among the faults.
     ///
     /// # Errors
-    /// If it is no list. An entry that can't be read is none: it is left out, and told among the faults.
-    pub fn read(text: &[u8]) -> serde_json::Result<List> {
+    /// If the text is no list.
+    pub fn read(text: &[u8]) -> serde_json::Result<EndpointList> {
         serde_json::from_slice(text)
     }
 
     /// Whether it has no entry at all.
     pub fn is_empty(&self) -> bool {
-        self.endpoints.as_ref().is_none_or(|e| e.read.is_empty() && e.faults.count() == 0)
+        self.endpoints.as_ref().is_none_or(ParsedEntries::is_empty)
     }
 
-    /// Whether it is a list at all. Danger: a whole one without entries, or with none that can be read, would take
-    /// every app server out. Of changes one that can't be read is passed over.
-    pub fn readable(&self) -> bool {
-        let whole = |e: &Entries| !self.snapshot || !e.read.is_empty() || e.faults.count() == 0;
-        self.endpoints.as_ref().is_some_and(whole)
+    /// Whether it can be applied. A whole list without entries, or with none that can be read, would remove every
+    /// endpoint. Of a delta, entries that cannot be read are passed over.
+    pub fn is_usable(&self) -> bool {
+        let Some(entries) = &self.endpoints else { return false };
+        !self.is_snapshot || !entries.parsed.is_empty() || entries.faults.count() == 0
     }
 
-    /// The entries that could be read, in the order told.
-    pub fn entries(&self) -> &[Entry] {
-        self.endpoints.as_ref().map_or(&[], |e| &e.read)
+    /// The entries that could be read, in the order of the list.
+    pub fn entries(&self) -> &[ListEntry] {
+        self.endpoints.as_ref().map_or(&[], |entries| &entries.parsed)
     }
 
-    /// What was wrong with others.
-    pub fn faults(&self) -> &Faults {
-        const NONE: &Faults = &Faults { told: Vec::new(), more: 0 };
-        self.endpoints.as_ref().map_or(NONE, |e| &e.faults)
+    /// What was wrong with the others.
+    pub fn faults(&self) -> &ListFaults {
+        const NONE: &ListFaults = &ListFaults { messages: Vec::new(), unlisted: 0 };
+        self.endpoints.as_ref().map_or(NONE, |entries| &entries.faults)
     }
 }
 
-/// An app server as a list has it.
-pub struct Entry {
+/// An endpoint as a list has it.
+pub struct ListEntry {
     /// Its name, the same at every node.
     pub name: Arc<str>,
     /// Where it is; none if the text is no address.
@@ -70,55 +70,85 @@
     /// The zone's name.
     pub zone: Arc<str>,
     /// The name of its kind of machine.
-    pub kind: Arc<str>,
+    pub machine_kind: Arc<str>,
     /// Its cell.
-    pub group: u32,
-    /// Its state; what has an unknown one is draining.
+    pub cell: u32,
+    /// Its state; an unknown one counts as draining.
     pub state: EndpointState,
-    /// Its size beside the others', where told; else 1.
+    /// Its capacity relative to other endpoints; 1 where the list has none.
     pub weight: f64,
     /// When it last started, in milliseconds of Unix time; 0: long ago.
-    pub since_ms: u64,
+    pub started_at_ms: u64,
 }
 
-/// What was wrong with entries of one list: how much, and the first few in words.
+/// What was wrong with entries of one list: how many faults, and the first few in words.
 #[derive(Default)]
-pub struct Faults {
-    told: Vec<String>,
-    more: usize,
+pub struct ListFaults {
+    messages: Vec<String>,
+    /// Faults beyond those in words.
+    unlisted: usize,
 }
 
-impl Faults {
-    /// Notes one.
+impl ListFaults {
+    /// Adds one.
     pub fn add(&mut self, fault: impl fmt::Display) {
-        if self.told.len() < FAULTS_TOLD {
-            self.told.push(fault.to_string());
+        if self.messages.len() < MAX_LOGGED_FAULTS {
+            self.messages.push(fault.to_string());
         } else {
-            self.more += 1;
+            self.unlisted += 1;
         }
     }
 
     /// How many there are.
     pub fn count(&self) -> usize {
-        self.told.len() + self.more
+        self.messages.len() + self.unlisted
     }
 
-    /// Lines for the log, at most one more than are told one by one.
+    /// Lines for the log, at most one more than [`MAX_LOGGED_FAULTS`].
     pub fn lines(&self) -> impl Iterator<Item = String> + '_ {
-        let more = (self.more > 0).then(|| format!("{} more entries of this list are at fault", self.more));
-        self.told.iter().cloned().chain(more)
+        let rest = format!("{} more entries of this list are at fault", self.unlisted);
+        self.messages.iter().cloned().chain((self.unlisted > 0).then_some(rest))
     }
 }
 
+/// The entries of a list.
 #[derive(Default)]
-struct Entries {
-    read: Vec<Entry>,
-    faults: Faults,
+struct ParsedEntries {
+    parsed: Vec<ListEntry>,
+    faults: ListFaults,
 }
 
-/// An entry as it is written.
+impl ParsedEntries {
+    fn is_empty(&self) -> bool {
+        self.parsed.is_empty() && self.faults.count() == 0
+    }
+
+    fn add(&mut self, raw: RawEntry<'_>, labels: &mut SharedLabels) {
+        let state = match &*raw.status {
+            "up" => EndpointState::Active,
+            "removed" => EndpointState::Removed,
+            "draining" => EndpointState::Draining,
+            unknown => {
+                self.faults.add(format_args!("{} is {unknown:?}, taken as draining", raw.name));
+                EndpointState::Draining
+            }
+        };
+        self.parsed.push(ListEntry {
+            name: raw.name.into(),
+            address: raw.address.parse().ok(),
+            zone: labels.shared(&raw.zone),
+            machine_kind: labels.shared(&raw.machine_kind),
+            cell: raw.cell,
+            state,
+            weight: raw.weight.unwrap_or(1.0),
+            started_at_ms: raw.started_at_ms,
+        });
+    }
+}
+
+/// An entry as it is serialized.
 #[derive(Deserialize)]
-struct Written<'a> {
+struct RawEntry<'a> {
     #[serde(borrow)]
     name: Cow<'a, str>,
     #[serde(borrow, default)]
@@ -126,79 +156,57 @@
     #[serde(borrow, default)]
     zone: Cow<'a, str>,
     #[serde(borrow, default, rename = "type")]
-    kind: Cow<'a, str>,
-    #[serde(default)]
-    group: u32,
+    machine_kind: Cow<'a, str>,
+    #[serde(default, rename = "group")]
+    cell: u32,
     #[serde(borrow)]
     status: Cow<'a, str>,
     weight: Option<f64>,
-    #[serde(default)]
-    since_ms: u64,
+    #[serde(default, rename = "since_ms")]
+    started_at_ms: u64,
 }
 
-impl<'de> Deserialize<'de> for Entries {
+impl<'de> Deserialize<'de> for ParsedEntries {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_seq(EachByItself)
+        deserializer.deserialize_seq(EntriesVisitor)
     }
 }
 
-struct EachByItself;
+/// Reads each entry by itself.
+struct EntriesVisitor;
 
-impl<'de> Visitor<'de> for EachByItself {
-    type Value = Entries;
+impl<'de> Visitor<'de> for EntriesVisitor {
+    type Value = ParsedEntries;
 
-    fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("a list of app servers")
+    fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str("a list of endpoints")
     }
 
-    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Entries, A::Error> {
-        let (mut entries, mut labels) = (Entries::default(), Labels::default());
-        while let Some(raw) = seq.next_element::<&RawValue>()? {
-            match serde_json::from_str::<Written<'_>>(raw.get()) {
-                Ok(written) => entries.take(written, &mut labels),
+    fn visit_seq<A: SeqAccess<'de>>(self, mut sequence: A) -> Result<ParsedEntries, A::Error> {
+        let mut entries = ParsedEntries::default();
+        let mut labels = SharedLabels::default();
+        while let Some(text) = sequence.next_element::<&RawValue>()? {
+            match serde_json::from_str::<RawEntry<'_>>(text.get()) {
+                Ok(raw) => entries.add(raw, &mut labels),
                 Err(error) => entries.faults.add(format_args!("malformed entry: {error}")),
             }
         }
-        entries.read.shrink_to_fit();
+        entries.parsed.shrink_to_fit();
         Ok(entries)
     }
 }
 
 /// Names that many entries share, each kept once.
 #[derive(Default)]
-struct Labels(BTreeSet<Arc<str>>);
+struct SharedLabels(BTreeSet<Arc<str>>);
 
-impl Labels {
-    fn one(&mut self, label: &str) -> Arc<str> {
-        if let Some(one) = self.0.get(label) {
-            return one.clone();
+impl SharedLabels {
+    fn shared(&mut self, label: &str) -> Arc<str> {
+        if let Some(known) = self.0.get(label) {
+            return known.clone();
         }
-        let one = Arc::<str>::from(label);
-        self.0.insert(one.clone());
-        one
-    }
-}
-
-impl Entries {
-    fn take(&mut self, written: Written<'_>, labels: &mut Labels) {
-        let state = match &*written.status {
-            "up" => EndpointState::Active,
-            "removed" => EndpointState::Removed,
-            "draining" => EndpointState::Draining,
-            other => {
-                self.faults.add(format_args!("{} is {other:?}, taken as draining", written.name));
-                EndpointState::Draining
-            }
-        };
-        self.read.push(Entry {
-            name: written.name.into(),
-            address: written.address.parse().ok(),
-            zone: labels.one(&written.zone),
-            kind: labels.one(&written.kind),
-            group: written.group,
-            state,
-            weight: written.weight.unwrap_or(1.0),
-            since_ms: written.since_ms,
-        });
+        let shared = Arc::<str>::from(label);
+        self.0.insert(shared.clone());
+        shared
     }
 }
--- /dev/null
+++ b/src/net/discovery/timeout.rs
@@ -0,0 +1,71 @@
+//! How long a call to discovery waits for its response.
+
+use std::future::Future;
+use std::pin::pin;
+use std::time::Duration;
+
+use tokio::time::{timeout, timeout_at, Instant};
+
+/// Whatever discovery has to notify counts as notified after this time, so no spread is longer, however many the
+/// nodes.
+pub const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
+/// How long the response takes to a call that is made again after one that failed. What that one may have missed
+/// counts as notified [`NOTIFIED_AFTER`] after it began, so the pause ends this much earlier.
+pub const RETRY_RESPONSE_TIME: Duration = Duration::from_millis(400);
+/// How long a watch waits at the agent for a change, in milliseconds.
+pub(super) const WATCH_WAIT_MS: u64 = 4_000;
+/// How much later the response to a watch counts as lost.
+const WATCH_GRACE: Duration = Duration::from_millis(1_000);
+/// How long a watch may be without a response in all. A change counts as notified 6 s after discovery had it, arrived
+/// or not, so a watch on a dead connection ends sooner.
+pub const WATCH_TIMEOUT: Duration = Duration::from_millis(WATCH_WAIT_MS).saturating_add(WATCH_GRACE);
+/// How long a fetch of the whole list may be without a response.
+pub const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long the first call to a new agent may be: what it knows counts as notified 4 s after the move.
+pub const FIRST_CALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// A response that has begun to arrive may pass these time-outs while no pause in it is longer than this. A long list
+/// on a busy core takes its time, and a call that is ended and made again takes it twice.
+pub const MAX_RESPONSE_PAUSE: Duration = Duration::from_millis(250);
+/// By how much a response may pass the time-outs at most. After a move it has arrived by then before it counts as
+/// notified.
+pub const MAX_TIMEOUT_EXTENSION: Duration = Duration::from_millis(2_500);
+/// Where the thread was busy for longer than a time-out, the time-out passes before what has arrived is read. The
+/// work gets this much more time then.
+const LATE_READ_TIME: Duration = Duration::from_millis(10);
+
+/// The time-out of one call, which is extended while its response arrives.
+#[derive(Clone, Copy)]
+pub struct WatchTimeout {
+    deadline: Instant,
+    /// By how much a response that is arriving may pass the deadline. A call that ended any later than leaves time
+    /// for the response to the next one would miss what counts as notified by then.
+    max_extension: Duration,
+}
+
+impl WatchTimeout {
+    /// For a call begun at this time that may be without a response for `wait`.
+    pub fn new(began_at: Instant, wait: Duration) -> Self {
+        let time_left = NOTIFIED_AFTER.saturating_sub(RETRY_RESPONSE_TIME + wait);
+        WatchTimeout { deadline: began_at + wait, max_extension: MAX_TIMEOUT_EXTENSION.min(time_left) }
+    }
+
+    /// When the call ends if nothing arrives.
+    pub fn deadline(self) -> Instant {
+        self.deadline
+    }
+
+    /// When the call ends if some of the response has arrived at this time and nothing more does.
+    pub fn deadline_after_bytes(self, arrived_at: Instant) -> Instant {
+        let extended = self.deadline.max(arrived_at + MAX_RESPONSE_PAUSE);
+        extended.min(self.deadline + self.max_extension)
+    }
+}
+
+/// The result of some work, unless it is not done by the deadline.
+pub(super) async fn finish_by<F: Future>(deadline: Instant, work: F) -> Option<F::Output> {
+    let mut work = pin!(work);
+    match timeout_at(deadline, work.as_mut()).await {
+        Ok(result) => Some(result),
+        Err(_) => timeout(LATE_READ_TIME, work).await.ok(),
+    }
+}
--- /dev/null
+++ b/src/net/discovery/watch.rs
@@ -0,0 +1,218 @@
+//! The watch of the endpoint list, which never ends, and single fetches of the whole list.
+
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::task::{spawn_local, AbortHandle};
+use tokio::time::{sleep, Instant};
+
+use crate::decision::{EndpointUpdateKind, Event};
+use crate::net::discovery::apply::{ApplyOutcome, ListApplier, ReceivedList};
+use crate::net::discovery::directory::EndpointDirectory;
+use crate::net::discovery::error::{DiscoveryError, WithCauses};
+use crate::net::discovery::labels::PlacementLabels;
+use crate::net::discovery::list_client::ListClient;
+use crate::net::discovery::parser::EndpointList;
+use crate::net::discovery::schedule::WatchSchedule;
+use crate::net::discovery::timeout::{FETCH_TIMEOUT, FIRST_CALL_TIMEOUT, WATCH_TIMEOUT, WATCH_WAIT_MS};
+use crate::net::event_sink::EventSink;
+use crate::net::http_client::ClientConnection;
+
+/// Where discovery serves the endpoint list.
+const LIST_PATH: &str = "/discovery/hosts";
+/// The pause after a call that returned at once without a change. A watch that does not wait would keep the core
+/// busy.
+const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(20);
+
+/// What one call of the watch brought.
+#[derive(Clone, Copy, PartialEq)]
+enum WatchResult {
+    /// A list that was applied.
+    Updated,
+    /// Nothing that was not known.
+    Unchanged,
+}
+
+/// A node's client of discovery.
+pub struct Discovery {
+    client: ListClient,
+    applier: Rc<ListApplier>,
+    watch_task: RefCell<Option<AbortHandle>>,
+    schedule: RefCell<WatchSchedule>,
+}
+
+impl Discovery {
+    /// A client of discovery at this address, whose lists go into this directory.
+    pub fn new(
+        address: SocketAddr,
+        directory: Rc<dyn EndpointDirectory>,
+        labels: PlacementLabels,
+        schedule: WatchSchedule,
+    ) -> Rc<Self> {
+        Rc::new(Discovery {
+            client: ListClient { address: address.into() },
+            applier: ListApplier::new(directory, labels),
+            watch_task: RefCell::default(),
+            schedule: RefCell::new(schedule),
+        })
+    }
+
+    /// Applies the list that the node had before its start, and watches from there on for ever. With such a list the
+    /// first call is delayed by the schedule.
+    pub fn start(self: &Rc<Self>, events: &Rc<dyn EventSink>, known: EndpointList) {
+        let delay =
+            if known.is_empty() { Duration::ZERO } else { self.schedule.borrow_mut().first_call_delay() };
+        // At once, however long: no request waits yet.
+        self.applier.apply_inline(events.as_ref(), &known, EndpointUpdateKind::StaleSnapshot);
+        self.spawn_watch(events, delay);
+    }
+
+    /// Goes on with the agent at this address. Its versions have nothing to do with the old one's, so it is asked for
+    /// the whole list first, and what the old one still sends is dropped with its watch.
+    pub fn move_to(self: &Rc<Self>, events: &Rc<dyn EventSink>, address: SocketAddr) {
+        if self.client.address.replace(address) != address {
+            self.applier.discovery_moved();
+            self.spawn_watch(events, Duration::ZERO);
+        }
+    }
+
+    /// Returns once discovery has sent what it holds.
+    pub async fn first_snapshot_received(&self) {
+        self.applier.first_snapshot_received().await;
+    }
+
+    /// Fetches the whole list once.
+    pub fn fetch(self: &Rc<Self>, events: Rc<dyn EventSink>) {
+        let discovery = self.clone();
+        let moves = self.applier.moves();
+        spawn_local(async move {
+            let Err(error) = discovery.fetch_once(&events, moves).await else { return };
+            if discovery.applier.moves() != moves {
+                return;
+            }
+            discovery.log_failure(&error, "the watch goes on");
+            let kind = EndpointUpdateKind::WatchLost;
+            events.send(Event::EndpointsUpdated { kind, entries: Vec::new() });
+        });
+    }
+
+    /// Fetches the whole list and applies it, unless discovery has moved since `moves` or the watch has brought
+    /// something newer meanwhile. The new agent is asked for its whole list anyway.
+    async fn fetch_once(&self, events: &Rc<dyn EventSink>, moves: u64) -> Result<(), DiscoveryError> {
+        let received = self.client.call(&mut None, LIST_PATH, FETCH_TIMEOUT).await?;
+        // Moves are counted: after two of them the address may be the same again.
+        let is_outdated =
+            self.applier.moves() != moves || Some(received.list.version) < self.applier.version();
+        if !is_outdated {
+            self.apply(events, received, EndpointUpdateKind::Snapshot).await?;
+        }
+        Ok(())
+    }
+
+    fn spawn_watch(self: &Rc<Self>, events: &Rc<dyn EventSink>, delay: Duration) {
+        let discovery = self.clone();
+        let events = events.clone();
+        let task = spawn_local(async move {
+            sleep(delay).await;
+            discovery.watch(&events).await;
+        });
+        if let Some(old) = self.watch_task.replace(Some(task.abort_handle())) {
+            old.abort();
+        }
+    }
+
+    /// Calls discovery again and again, with pauses after failures. Of failures in a row only the first is logged.
+    async fn watch(&self, events: &Rc<dyn EventSink>) {
+        let mut connection = None;
+        let mut is_failing = false;
+        loop {
+            let began_at = Instant::now();
+            match self.watch_once(&mut connection, events).await {
+                Ok(result) => {
+                    is_failing = false;
+                    self.schedule.borrow_mut().reset();
+                    if result == WatchResult::Unchanged && began_at.elapsed() < MIN_WATCH_INTERVAL {
+                        sleep(MIN_WATCH_INTERVAL).await;
+                    }
+                }
+                Err(error) => {
+                    if !is_failing {
+                        self.log_failure(&error, "retrying");
+                    }
+                    is_failing = true;
+                    connection = None;
+                    let pause = self.pause_after_failure(began_at.elapsed());
+                    sleep(pause).await;
+                }
+            }
+        }
+    }
+
+    fn pause_after_failure(&self, call_time: Duration) -> Duration {
+        let mut schedule = self.schedule.borrow_mut();
+        match self.applier.version() {
+            Some(_) => schedule.pause_after_failure(call_time),
+            None => schedule.pause_before_first_list(),
+        }
+    }
+
+    /// One long poll for changes since the version applied last; without one, a call for the whole list.
+    async fn watch_once(
+        &self,
+        connection: &mut Option<ClientConnection>,
+        events: &Rc<dyn EventSink>,
+    ) -> Result<WatchResult, DiscoveryError> {
+        let received = match self.applier.version() {
+            Some(version) => {
+                let path = format!("{LIST_PATH}?after={version}&wait_ms={WATCH_WAIT_MS}");
+                self.client.call(connection, &path, WATCH_TIMEOUT).await?
+            }
+            None => self.client.call(connection, LIST_PATH, FIRST_CALL_TIMEOUT).await?,
+        };
+        self.apply_watched(events, received).await
+    }
+
+    /// Applies what a watch has brought, if it is new.
+    async fn apply_watched(
+        &self,
+        events: &Rc<dyn EventSink>,
+        received: ReceivedList,
+    ) -> Result<WatchResult, DiscoveryError> {
+        let list = &received.list;
+        let version = list.version;
+        let known_version = self.applier.version();
+        let kind = if list.is_snapshot || known_version.is_none() {
+            EndpointUpdateKind::Snapshot
+        } else {
+            EndpointUpdateKind::Delta
+        };
+        let has_no_change = kind == EndpointUpdateKind::Delta && list.is_empty();
+        // A fetch may have brought a newer list meanwhile; an older delta would undo it.
+        let is_outdated = kind == EndpointUpdateKind::Delta && Some(version) < known_version;
+        if !has_no_change && !is_outdated {
+            let outcome = self.apply(events, received, kind).await?;
+            if outcome == ApplyOutcome::Applied {
+                return Ok(WatchResult::Updated);
+            }
+        }
+        // A version that brings no change is still the one to watch from.
+        self.applier.note_version(version);
+        Ok(WatchResult::Unchanged)
+    }
+
+    async fn apply(
+        &self,
+        events: &Rc<dyn EventSink>,
+        received: ReceivedList,
+        kind: EndpointUpdateKind,
+    ) -> Result<ApplyOutcome, DiscoveryError> {
+        self.applier.apply(events, received, kind).await.map_err(DiscoveryError::Worker)
+    }
+
+    fn log_failure(&self, error: &DiscoveryError, consequence: &str) {
+        let address = self.client.address.get();
+        eprintln!("edge-node: discovery at {address}: {}; {consequence}", WithCauses(error));
+    }
+}
--- a/src/net/upstream/known_endpoints.rs
+++ b/src/net/upstream/known_endpoints.rs
@@ -24,11 +24,11 @@
 
     /// An endpoint that takes new requests.
     pub(super) fn get_active(&self, id: EndpointId) -> Option<&Endpoint> {
-        self.get(id).filter(|endpoint| endpoint.up())
+        self.get(id).filter(|endpoint| endpoint.is_active())
     }
 
     /// Whether the current list names another endpoint at this address.
     pub(super) fn address_is_shared(&self, id: EndpointId, address: SocketAddr) -> bool {
-        self.current.shares(id, address)
+        self.current.is_address_shared(id, address)
     }
 }
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -18,9 +18,10 @@
 
 use crate::decision::{EndpointId, Micros};
 use crate::net::descriptor_budget::DescriptorBudget;
-use crate::net::discovery::directory::{AppliedDelta, EndpointDirectory};
-use crate::net::discovery::endpoints::{Endpoints, Places};
-use crate::net::discovery::parser::{Entry, Faults};
+use crate::net::discovery::directory::EndpointDirectory;
+use crate::net::discovery::endpoints::{AppliedEntries, Endpoints};
+use crate::net::discovery::labels::PlacementLabels;
+use crate::net::discovery::parser::ListEntry;
 use crate::net::http_client::ClientConnection;
 use crate::net::upstream::known_endpoints::KnownEndpoints;
 use crate::net::upstream::pool::{AcquireError, ConnectionPools, EndpointPool, PooledConnection};
@@ -146,18 +147,12 @@
         Arc::ptr_eq(&self.known.borrow().current, endpoints)
     }
 
-    fn apply_delta(&self, entries: &[Entry], places: &Places) -> AppliedDelta {
+    fn apply_delta(&self, entries: &[ListEntry], labels: &PlacementLabels) -> AppliedEntries {
         let mut known = self.known.borrow_mut();
-        let endpoints = Arc::make_mut(&mut known.current);
-        let mut stale = Vec::new();
-        let mut faults = Faults::default();
-        let mut applied = Vec::new();
-        for entry in entries {
-            applied.extend(endpoints.change(entry, places, &mut stale, &mut faults));
-        }
-        self.pools.discard(&stale);
+        let applied = Arc::make_mut(&mut known.current).apply_entries(entries, labels);
+        self.pools.discard(&applied.stale);
         self.pools.close_idle_of_inactive(&known);
-        AppliedDelta { entries: applied, faults }
+        applied
     }
 
     fn replace(&self, endpoints: Endpoints, stale: &[EndpointId]) {
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -68,7 +68,7 @@
     }
 
     fn leads_to(&self, endpoint: &Endpoint) -> bool {
-        self.address == endpoint.address && self.started_at_ms == endpoint.attributes.since_ms
+        self.address == endpoint.address && self.started_at_ms == endpoint.attributes.started_at_ms
     }
 
     fn close_idle(&self) {
@@ -145,7 +145,7 @@
             let endpoint = known.get(id).filter(|endpoint| pool.leads_to(endpoint));
             // A new endpoint may stand at the address of one that was removed. Connections lead to the old one.
             let is_kept = endpoint.is_some() && !known.address_is_shared(id, pool.address);
-            if !is_kept || !endpoint.is_some_and(Endpoint::up) {
+            if !is_kept || !endpoint.is_some_and(Endpoint::is_active) {
                 pool.close_idle();
             }
             is_kept
@@ -163,7 +163,7 @@
 
     /// The pool of this endpoint.
     pub(super) fn pool_of(&self, id: EndpointId, endpoint: &Endpoint) -> Rc<EndpointPool> {
-        let new_pool = || Rc::new(EndpointPool::new(endpoint.address, endpoint.attributes.since_ms));
+        let new_pool = || Rc::new(EndpointPool::new(endpoint.address, endpoint.attributes.started_at_ms));
         self.by_endpoint.borrow_mut().entry(id).or_insert_with(new_pool).clone()
     }
 
--- a/tests/backoff.rs
+++ b/tests/backoff.rs
@@ -10,15 +10,15 @@
     let mut ends = Vec::new();
     for seed in 0..100 {
         let mut backoff = Backoff::new(seed, first, most);
-        let pauses: Vec<_> = (0..6).map(|_| backoff.pause()).collect();
+        let pauses: Vec<_> = (0..6).map(|_| backoff.next_pause()).collect();
         for (pause, nominal) in pauses.iter().zip([1, 2, 4, 8, 8, 8]) {
             let nominal = Duration::from_secs(nominal);
             assert!((nominal / 2..=nominal * 3 / 2).contains(pause), "{pause:?} for {nominal:?}");
         }
         ends.push(pauses.iter().sum::<Duration>());
         backoff.reset();
-        assert!(backoff.pause() <= first * 3 / 2);
-        assert!(backoff.part_of(first) <= first);
+        assert!(backoff.next_pause() <= first * 3 / 2);
+        assert!(backoff.random_part_of(first) <= first);
     }
     ends.sort();
     let (early, late) = (ends[10], ends[90]);
--- a/tests/lists.rs
+++ b/tests/endpoint_lists.rs
@@ -12,11 +12,15 @@
 use edge_node::decision::*;
 use edge_node::net::counter::CounterClient;
 use edge_node::net::descriptor_budget::DescriptorBudget;
-use edge_node::net::discovery::apply::{parts, Intake, Told, PART};
+use edge_node::net::discovery::apply::{ApplyOutcome, ListApplier, ReceivedList};
+use edge_node::net::discovery::delta::{parts, ENTRIES_PER_PART};
 use edge_node::net::discovery::directory::EndpointDirectory;
-use edge_node::net::discovery::endpoints::{number, Difference, Endpoints, Places, Renewed};
-use edge_node::net::discovery::parser::{Faults, List, FAULTS_TOLD};
-use edge_node::net::discovery::{Discovery, WatchSchedule, LIST_MOST};
+use edge_node::net::discovery::endpoint_id::endpoint_id;
+use edge_node::net::discovery::endpoints::Endpoints;
+use edge_node::net::discovery::labels::PlacementLabels;
+use edge_node::net::discovery::parser::{EndpointList, MAX_LOGGED_FAULTS};
+use edge_node::net::discovery::snapshot::{AppliedList, ListDifference};
+use edge_node::net::discovery::{Discovery, WatchSchedule, MAX_LIST_BYTES};
 use edge_node::net::event_loop::EventLoop;
 use edge_node::net::event_sink::EventSink;
 use edge_node::net::upstream::{ForwardedRequest, Upstreams};
@@ -39,26 +43,24 @@
     entry(&name(number), ([127, b + 1, c, d], 9).into(), "a", status)
 }
 
-fn read(entries: &[Value]) -> List {
+fn read(entries: &[Value]) -> EndpointList {
     let text = json!({"index": 2, "snapshot": true, "endpoints": entries}).to_string();
-    List::read(text.as_bytes()).expect("a list")
+    EndpointList::read(text.as_bytes()).expect("a list")
 }
 
-fn places() -> Places {
-    Places::new(vec!["a".into()], vec!["m1".into()])
+fn places() -> PlacementLabels {
+    PlacementLabels::new(vec!["a".into()], vec!["m1".into()])
 }
 
 /// What is known after this whole list.
-fn whole(known: &Endpoints, entries: &[Value]) -> Renewed {
-    known.renewed(read(entries).entries(), &places())
+fn whole(known: &Endpoints, entries: &[Value]) -> AppliedList {
+    known.with_snapshot(read(entries).entries(), &places())
 }
 
 /// What is told of these changes.
 fn changes(known: &mut Endpoints, entries: &[Value]) -> (Vec<(EndpointId, EndpointState)>, Vec<EndpointId>) {
-    let (mut stale, mut faults) = (Vec::new(), Faults::default());
-    let list = read(entries);
-    let told = list.entries().iter().filter_map(|e| known.change(e, &places(), &mut stale, &mut faults));
-    (told.map(|m| (m.id, m.state)).collect(), stale)
+    let applied = known.apply_entries(read(entries).entries(), &places());
+    (applied.entries.iter().map(|entry| (entry.id, entry.state)).collect(), applied.stale)
 }
 
 #[test]
@@ -66,16 +68,16 @@
     for size in SIZES {
         let mut entries: Vec<Value> = (0..size).map(|n| numbered(n, "up")).collect();
         let first = whole(&Endpoints::default(), &entries);
-        assert_eq!(first.difference, Difference { added: size, ..Difference::default() });
-        assert_eq!(whole(&first.endpoints, &entries).difference.same, size);
+        assert_eq!(first.difference, ListDifference { added: size, ..ListDifference::default() });
+        assert_eq!(whole(&first.endpoints, &entries).difference.unchanged, size);
 
         entries[7] = numbered(7, "draining");
         entries[8]["since_ms"] = json!(5);
         entries[9]["address"] = json!("127.0.0.1:9");
         entries[10] = numbered(size, "up");
         let next = whole(&first.endpoints, &entries);
-        assert_eq!(next.difference, Difference { same: size - 4, changed: 3, added: 1, gone: 1 });
-        assert!(next.members.windows(2).all(|w| w[0].id < w[1].id), "one for each, in order");
+        assert_eq!(next.difference, ListDifference { unchanged: size - 4, changed: 3, added: 1, removed: 1 });
+        assert!(next.entries.windows(2).all(|w| w[0].id < w[1].id), "one for each, in order");
         for number in (0..=size).filter(|&n| n != 10) {
             let found = next.endpoints.find(&name(number)).and_then(|s| next.endpoints.get(s));
             assert_eq!(found.map(|e| &*e.name), Some(&*name(number)));
@@ -84,8 +86,11 @@
 
         let others: Vec<Value> = (size + 1..=2 * size).map(|n| numbered(n, "up")).collect();
         let last = whole(&next.endpoints, &others);
-        assert_eq!(last.difference, Difference { added: size, gone: size, ..Difference::default() });
-        assert_eq!((last.endpoints.len(), last.members.len()), (size, size));
+        assert_eq!(
+            last.difference,
+            ListDifference { added: size, removed: size, ..ListDifference::default() }
+        );
+        assert_eq!((last.endpoints.len(), last.entries.len()), (size, size));
     }
 }
 
@@ -105,21 +110,21 @@
                 e
             })
             .collect();
-        let beside = known.changed(read(&list).entries(), &places());
+        let beside = known.with_delta(read(&list).entries(), &places());
         let (told, stale) = changes(&mut known, &list);
-        assert_eq!(beside.members.iter().map(|m| (m.id, m.state)).collect::<Vec<_>>(), told);
+        assert_eq!(beside.entries.iter().map(|m| (m.id, m.state)).collect::<Vec<_>>(), told);
         assert_eq!(beside.stale, stale);
         // The same again as a whole list differs in nothing.
         let all: Vec<Value> = (0..60)
             .filter_map(|n| known.get(known.find(&name(n))?))
             .map(|e| {
-                let mut entry = entry(&e.name, e.address, "a", if e.up() { "up" } else { "draining" });
-                entry["since_ms"] = json!(e.attributes.since_ms);
+                let mut entry = entry(&e.name, e.address, "a", if e.is_active() { "up" } else { "draining" });
+                entry["since_ms"] = json!(e.attributes.started_at_ms);
                 entry
             })
             .collect();
         for endpoints in [&known, &beside.endpoints] {
-            let same = Difference { same: all.len(), ..Difference::default() };
+            let same = ListDifference { unchanged: all.len(), ..ListDifference::default() };
             assert_eq!(whole(endpoints, &all).difference, same);
         }
     }
@@ -132,13 +137,13 @@
         changes(&mut known, &[numbered(2, "removed"), json!({"name": "s-3", "status": "up"})]);
     assert!(told.is_empty() && stale.is_empty(), "without an address, or gone before it came");
     let (told, _) = changes(&mut known, &[numbered(2, "draining")]);
-    assert_eq!(told, [(number(&name(2)), EndpointState::Draining)]);
+    assert_eq!(told, [(endpoint_id(&name(2)), EndpointState::Draining)]);
     assert_eq!(known.len(), 2);
     // Where another stands already the connections of both may lead to either.
     let mut there = numbered(3, "up");
     there["address"] = numbered(1, "up")["address"].clone();
     let (_, stale) = changes(&mut known, &[there]);
-    assert_eq!(BTreeSet::from_iter(stale), BTreeSet::from([1, 3].map(|n| number(&name(n)))));
+    assert_eq!(BTreeSet::from_iter(stale), BTreeSet::from([1, 3].map(|n| endpoint_id(&name(n)))));
 }
 
 #[test]
@@ -146,22 +151,22 @@
     let mut unplaced = numbered(1, "draining");
     unplaced["address"] = json!("");
     let list = whole(&Endpoints::default(), &[numbered(1, "up"), numbered(2, "up"), unplaced]);
-    let states: BTreeSet<_> = list.members.iter().map(|m| (m.id, m.state == EndpointState::Active)).collect();
-    assert_eq!(states, BTreeSet::from([(number(&name(1)), false), (number(&name(2)), true)]));
-    assert_eq!(list.members.len(), 2);
-    let first = list.endpoints.get(number(&name(1))).expect("placed by the earlier entry");
-    assert!(!first.up() && first.address.port() == 9);
+    let states: BTreeSet<_> = list.entries.iter().map(|m| (m.id, m.state == EndpointState::Active)).collect();
+    assert_eq!(states, BTreeSet::from([(endpoint_id(&name(1)), false), (endpoint_id(&name(2)), true)]));
+    assert_eq!(list.entries.len(), 2);
+    let first = list.endpoints.get(endpoint_id(&name(1))).expect("placed by the earlier entry");
+    assert!(!first.is_active() && first.address.port() == 9);
 }
 
 #[test]
 fn names_never_share_a_number_and_those_that_go_free_theirs() {
-    let [a, b] = ALIKE.map(number);
+    let [a, b] = ALIKE.map(endpoint_id);
     assert_eq!(a.0 >> 32, b.0 >> 32, "the names of this test");
     assert_ne!(a, b);
     // Where all have one number, each has another all the same, and keeps it while it is known.
     let same = |_: &str| EndpointId(u64::MAX);
     let all = |numbers: &[usize]| numbers.iter().map(|&n| numbered(n, "up")).collect::<Vec<_>>();
-    let mut known = whole(&Endpoints::numbered_by(same), &all(&[1, 2, 3])).endpoints;
+    let mut known = whole(&Endpoints::with_id_function(same), &all(&[1, 2, 3])).endpoints;
     let ids =
         |e: &Endpoints, numbers: &[usize]| numbers.iter().map(|&n| e.find(&name(n))).collect::<Vec<_>>();
     let before = ids(&known, &[1, 2, 3]);
@@ -184,12 +189,12 @@
     entries[MANY / 2]["status"] = json!(7);
     let list = read(&entries);
     assert_eq!((list.entries().len(), list.faults().count()), (MANY - 1, 1));
-    assert!(list.readable());
+    assert!(list.is_usable());
     let bad = read(&vec![json!({"name": 7}); MANY]);
     assert_eq!((bad.entries().len(), bad.faults().count()), (0, MANY));
-    assert!(!bad.readable() && bad.faults().lines().count() == FAULTS_TOLD + 1);
+    assert!(!bad.is_usable() && bad.faults().lines().count() == MAX_LOGGED_FAULTS + 1);
     let told = whole(&Endpoints::default(), &vec![json!({"name": "s-1", "status": "up"}); 3]);
-    assert_eq!((told.members.len(), told.faults.count()), (0, 1), "of entries for one name only one counts");
+    assert_eq!((told.entries.len(), told.faults.count()), (0, 1), "of entries for one name only one counts");
 }
 
 /// Entries, each with a size, a place, a start and a state drawn by lot, so that few are as they were.
@@ -252,28 +257,29 @@
 
 #[test]
 fn the_decisions_know_the_same_from_parts_of_a_delta_as_from_the_whole_list() {
-    let places = Places::new(vec!["a".into(), "b".into()], vec!["m1".into()]);
+    let places = PlacementLabels::new(vec!["a".into(), "b".into()], vec!["m1".into()]);
     for seed in 0..60 {
         let random = &mut fastrand::Rng::with_seed(seed);
         let (mut whole, mut told) = (decisions(), decisions());
         let mut known = Endpoints::default();
         for _ in 0..6 {
             let list = read(&drawn(random, 40));
-            let next = known.renewed(list.entries(), &places);
-            hear(&mut whole, EndpointUpdateKind::Snapshot, next.members.clone());
-            for part in next.endpoints.delta(&known).chunks(1 + random.usize(..9)) {
+            let next = known.with_snapshot(list.entries(), &places);
+            hear(&mut whole, EndpointUpdateKind::Snapshot, next.entries.clone());
+            for part in next.endpoints.delta_since(&known).chunks(1 + random.usize(..9)) {
                 hear(&mut told, EndpointUpdateKind::Delta, part.to_vec());
             }
             assert_eq!((told.kept(), told.kept().1), (whole.kept(), next.endpoints.len()));
             // The whole list finds nothing left that differs, beside what it tells again to have gone.
             let (_, touched) = told.work();
-            let listed = next.members.into_iter().filter(|m| m.state != EndpointState::Removed).collect();
+            let listed = next.entries.into_iter().filter(|m| m.state != EndpointState::Removed).collect();
             hear(&mut told, EndpointUpdateKind::Snapshot, listed);
             assert_eq!((told.work().1, told.kept()), (touched, whole.kept()), "seed {seed}");
             known = next.endpoints;
         }
-        let up =
-            (0..40).filter_map(|n| known.find(&name(n))).filter(|&s| known.get(s).is_some_and(|e| e.up()));
+        let up = (0..40)
+            .filter_map(|n| known.find(&name(n)))
+            .filter(|&s| known.get(s).is_some_and(|e| e.is_active()));
         let up: BTreeSet<_> = up.collect();
         assert_eq!((&sends(&mut told, 400), &sends(&mut whole, 400)), (&up, &up), "seed {seed}");
     }
@@ -284,7 +290,7 @@
     for size in SIZES {
         let mut entries: Vec<Value> = (0..size).map(|n| numbered(n, "up")).collect();
         let first = whole(&Endpoints::default(), &entries).endpoints;
-        assert!(first.delta(&whole(&first, &entries).endpoints).is_empty());
+        assert!(first.delta_since(&whole(&first, &entries).endpoints).is_empty());
         entries[3]["address"] = json!("127.0.0.1:9");
         let fields =
             [("zone", json!("z")), ("type", json!("m2")), ("group", json!(2)), ("weight", json!(2.5))];
@@ -294,14 +300,14 @@
         }
         let gone = std::mem::replace(&mut entries[20], numbered(size, "up"));
         let next = whole(&first, &entries).endpoints;
-        let delta = next.delta(&first);
+        let delta = next.delta_since(&first);
         let ids: BTreeSet<_> = delta.iter().map(|m| m.id).collect();
-        let named = (4..10).chain([20, size]).map(|n| number(&name(n)));
+        let named = (4..10).chain([20, size]).map(|n| endpoint_id(&name(n)));
         assert_eq!((ids, delta.len()), (named.collect(), 8));
         let out = delta.iter().find(|m| m.state == EndpointState::Removed).expect("one that has gone");
         assert_eq!(
             (out.id, out.zone, out.cell),
-            (number(&name(20)), 0, gone["group"].as_u64().unwrap() as u32)
+            (endpoint_id(&name(20)), 0, gone["group"].as_u64().unwrap() as u32)
         );
     }
 }
@@ -323,13 +329,13 @@
     for (before, after) in lists {
         let before = whole(&Endpoints::default(), &before).endpoints;
         let after = whole(&before, &after).endpoints;
-        let mut open: BTreeSet<_> = before.up().collect();
-        let least = open.len().min(after.up().count());
-        let delta = after.delta(&before);
+        let mut open: BTreeSet<_> = before.active_ids().collect();
+        let least = open.len().min(after.active_ids().count());
+        let delta = after.delta_since(&before);
         let told = parts(&delta);
         assert!(
-            told.iter().all(|part| (1..=PART).contains(&part.len()))
-                && told.len() == delta.len().div_ceil(PART)
+            told.iter().all(|part| (1..=ENTRIES_PER_PART).contains(&part.len()))
+                && told.len() == delta.len().div_ceil(ENTRIES_PER_PART)
         );
         for member in told.concat() {
             if member.state == EndpointState::Active {
@@ -339,7 +345,7 @@
             }
             assert!(open.len() >= least, "{} in service, {least} at one end", open.len());
         }
-        assert_eq!(open, after.up().collect());
+        assert_eq!(open, after.active_ids().collect());
     }
 }
 
@@ -392,7 +398,7 @@
     let mut entries: Vec<Value> = entries.collect();
     entries[MANY / 2] = json!({"name": 7});
     let text = serde_json::to_string_pretty(&list(index, &entries)).expect("JSON");
-    assert!((8 << 20..LIST_MOST).contains(&text.len()), "{} bytes", text.len());
+    assert!((8 << 20..MAX_LIST_BYTES).contains(&text.len()), "{} bytes", text.len());
     text
 }
 
@@ -480,7 +486,7 @@
     let text = with_length(&long(9, &agent));
     on_one_thread(async {
         let (node, discovery) = in_process(&agent);
-        discovery.start(&events(&node), List::default());
+        discovery.start(&events(&node), EndpointList::default());
         until(|| arrived(&agent).filter(|seen| seen.message.first.contains("after=0&"))).await;
         discovery.fetch(node.clone());
         let fetch = until(|| arrived(&agent).filter(|seen| !seen.message.first.contains("after="))).await;
@@ -513,7 +519,7 @@
     let text = with_length(&json!({"index": 2, "snapshot": false, "endpoints": entries}).to_string());
     on_one_thread(async {
         let (node, discovery) = in_process(&agent);
-        discovery.start(&events(&node), List::default());
+        discovery.start(&events(&node), EndpointList::default());
         let watch = until(|| arrived(&agent).filter(|seen| seen.message.first.contains("after=0&"))).await;
         let known = Arc::downgrade(&node.upstreams.endpoints());
         let sent = std::thread::spawn(move || watch.spoil(text.as_bytes()));
@@ -618,7 +624,7 @@
 }
 
 fn number_of(number: usize) -> EndpointId {
-    edge_node::net::discovery::endpoints::number(&name(number))
+    endpoint_id(&name(number))
 }
 
 #[test]
@@ -631,7 +637,7 @@
     let texts = [many(2, 0, &first, &known), many(3, SOME, &second, &next)];
     on_one_thread(async {
         let (node, discovery) = in_process(&agent);
-        discovery.start(&events(&node), List::default());
+        discovery.start(&events(&node), EndpointList::default());
         halfway(&node, &agent, 0, &texts[0]).await;
         to_the_end(&node).await;
         // One gets a connection that is kept.
@@ -654,10 +660,10 @@
     let (agent, app) = (App::new(), App::new());
     on_one_thread(async {
         let (node, discovery) = in_process(&agent);
-        discovery.start(&events(&node), List::default());
+        discovery.start(&events(&node), EndpointList::default());
         for (from, to, first, delta) in [(0, 2, 0, SOME), (2, 3, SOME, 2 * SOME)] {
             halfway(&node, &agent, from, &many(to, first, &app, &[])).await;
-            assert!(to_the_end(&node).await + 1 >= delta.div_ceil(PART));
+            assert!(to_the_end(&node).await + 1 >= delta.div_ceil(ENTRIES_PER_PART));
         }
         let same = many(4, SOME, &app, &[]);
         let next = until(|| {
@@ -679,7 +685,7 @@
     let text = many(9, 0, &app, &[]);
     on_one_thread(async {
         let (node, discovery) = in_process(&agent);
-        discovery.start(&events(&node), List::default());
+        discovery.start(&events(&node), EndpointList::default());
         halfway(&node, &agent, 0, &text).await;
         discovery.move_to(&events(&node), other.address);
         let call = next_call(&other).await;
@@ -707,7 +713,7 @@
         };
         on_one_thread(async {
             let (node, discovery) = in_process(&agent);
-            discovery.start(&events(&node), List::default());
+            discovery.start(&events(&node), EndpointList::default());
             until(|| arrived(&agent).filter(|seen| !seen.message.first.contains("after="))).await;
             halfway(&node, &agent, 0, &text).await;
             discovery.fetch(node.clone());
@@ -734,12 +740,13 @@
 fn of_two_long_lists_the_second_is_not_put_in_place_before_the_decisions_know_all_of_the_first() {
     on_one_thread(async {
         let (node, _) = in_process(&App::new());
-        let intake = Intake::new(node.upstreams.clone(), places());
+        let applier = ListApplier::new(node.upstreams.clone(), places());
         let take_in = |from: usize| {
             let list = read(&(from..from + SOME).map(|n| numbered(n, "up")).collect::<Vec<_>>());
-            let (intake, events, told) = (intake.clone(), events(&node), Told { list, long: true });
+            let (applier, events, told) =
+                (applier.clone(), events(&node), ReceivedList { list, is_long: true });
             tokio::task::spawn_local(async move {
-                intake.take_in(&events, told, EndpointUpdateKind::Snapshot).await
+                applier.apply(&events, told, EndpointUpdateKind::Snapshot).await
             })
         };
         let first = take_in(0);
@@ -754,8 +761,8 @@
         turns().await;
         let found = |number| node.upstreams.endpoints().find(&name(number)).is_some();
         assert!(node.upstreams.is_replacing_endpoints() && found(0) && !found(SOME));
-        assert!(first.await.expect("no panic").expect("taken in"));
-        assert!(second.await.expect("no panic").expect("taken in"));
+        assert_eq!(first.await.expect("no panic").expect("applied"), ApplyOutcome::Applied);
+        assert_eq!(second.await.expect("no panic").expect("applied"), ApplyOutcome::Applied);
         assert!(!node.upstreams.is_replacing_endpoints() && !found(0) && found(SOME));
     });
 }
--- a/tests/told.rs
+++ b/tests/list_notification_deadline.rs
@@ -5,7 +5,8 @@
 
 use std::time::{Duration, Instant};
 
-use edge_node::net::discovery::{WatchSchedule, ANSWER, TOLD_AFTER};
+use edge_node::net::discovery::timeout::{NOTIFIED_AFTER, RETRY_RESPONSE_TIME};
+use edge_node::net::discovery::WatchSchedule;
 use fakes::*;
 use serde_json::{json, Value};
 
@@ -89,7 +90,7 @@
     let silent = lists.each_ref().map(|lists| (watch(lists), Instant::now()));
     for ((held, since), lists) in silent.iter().zip(&lists) {
         let next = watch(lists);
-        assert!(since.elapsed() < TOLD_AFTER, "after {:?}", since.elapsed());
+        assert!(since.elapsed() < NOTIFIED_AFTER, "after {:?}", since.elapsed());
         assert_eq!(version(&next), version(held));
         assert_ne!(next.line(), held.line(), "asked on the connection that is silent");
     }
@@ -102,8 +103,11 @@
             // Refused, timed out as at a service that is full, and given up as silent.
             for spent in [0, 2_000, 5_000].map(Duration::from_millis) {
                 let mut pace = WatchSchedule::new(seed, nodes, true);
-                let longest = (0..9).map(|_| pace.pause(false, spent)).max().unwrap_or_default();
-                assert!(spent + longest + ANSWER <= TOLD_AFTER, "{nodes} nodes, {spent:?}: {longest:?}");
+                let longest = (0..9).map(|_| pace.pause_after_failure(spent)).max().unwrap_or_default();
+                assert!(
+                    spent + longest + RETRY_RESPONSE_TIME <= NOTIFIED_AFTER,
+                    "{nodes} nodes, {spent:?}: {longest:?}"
+                );
             }
         }
     }
@@ -120,5 +124,5 @@
     let _held = watch(&lists);
     let since = Instant::now();
     let _next = watch(&lists);
-    assert!(since.elapsed() < TOLD_AFTER, "after {:?}", since.elapsed());
+    assert!(since.elapsed() < NOTIFIED_AFTER, "after {:?}", since.elapsed());
 }
