--- a/src/main.rs
+++ b/src/main.rs
@@ -9,7 +9,7 @@
 
 use edge_node::decision::DecisionEngine;
 use edge_node::decision::{Event, Settings};
-use edge_node::protocol::simulator::SettingsDocument;
+use edge_node::protocol::settings::SettingsDocument;
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use tokio::net::{TcpListener, TcpSocket};
@@ -130,12 +130,13 @@
     let allowed = rlimit::increase_nofile_limit(config.limits.sockets as u64).map_err(StartError::System)?;
     let budget = DescriptorBudget::new(config.limits.sockets.min(allowed as usize));
     let mut env = config.settings;
-    let (zones, kinds) = (std::mem::take(&mut env.zones), std::mem::take(&mut env.kinds));
-    let (connect_timeout, conn_idle) = (env.bounds.connect_timeout, env.bounds.conn_idle);
-    let longest = env.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-    let timetable = ShutdownSchedule::new(Duration::from_micros(longest));
+    let (zones, kinds) = (std::mem::take(&mut env.zones), std::mem::take(&mut env.machine_kinds));
+    let conn_idle = env.limits.connection_idle_timeout;
     let rules = Rules::new(&env);
     let settings = Settings::from(env);
+    let connect_timeout = settings.limits.connect_timeout;
+    let longest = settings.classes.iter().map(|class| class.total_timeout).max().unwrap_or(0);
+    let timetable = ShutdownSchedule::new(Duration::from_micros(longest));
 
     let servers = Upstreams::new(budget.clone(), connect_timeout, conn_idle);
     let counter = CounterClient::new(counter.filter(|_| settings.counter.enabled), settings.counter.timeout);
--- a/src/net/downstream/mod.rs
+++ b/src/net/downstream/mod.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use crate::decision::{AccountId, Micros, NewRequest, RequestId};
-use crate::protocol::simulator::{IdempotencyName, SettingsDocument};
+use crate::protocol::settings::{IdempotencyName, SettingsDocument};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Incoming};
@@ -80,10 +80,12 @@
     /// Reads them off the settings.
     pub fn new(env: &SettingsDocument) -> Self {
         Rules {
-            classes: env.classes.iter().map(|c| (c.name.clone(), c.effect)).collect(),
-            plans: env.tariffs.iter().map(|p| p.name.clone()).collect(),
-            nodes: env.n_instances.max(1),
-            largest_units: Some(env.largest_units()).filter(|&most| most > 0.0).unwrap_or(f64::MAX),
+            classes: env.classes.iter().map(|c| (c.name.clone(), c.idempotency)).collect(),
+            plans: env.plans.iter().map(|p| p.name.clone()).collect(),
+            nodes: env.node_count.max(1),
+            largest_units: Some(env.accounting.max_request_units)
+                .filter(|&most| most > 0.0)
+                .unwrap_or(f64::MAX),
         }
     }
 }
@@ -390,7 +392,7 @@
         let fits = match self.rules.classes[class].1 {
             IdempotencyName::Safe => *method == Method::GET,
             IdempotencyName::Keyed => *method == Method::POST && keyed,
-            IdempotencyName::Unsafe => *method == Method::POST && !keyed,
+            IdempotencyName::NonIdempotent => *method == Method::POST && !keyed,
         };
         if !fits {
             return Err(bad("method and key are not the class's\n"));
--- /dev/null
+++ b/src/protocol/simulator/mod.rs
@@ -0,0 +1,117 @@
+//! The simulator adapter: runs decision engines on the simulator's messages, one line in and one line out.
+
+mod incoming;
+mod outgoing;
+
+use std::collections::BTreeMap;
+use std::io::{self, BufRead, Write};
+
+use thiserror::Error;
+
+use crate::decision::{Action, DecisionEngine, EndpointEntry, Micros};
+use incoming::{Batch, EndpointLists, Message, NodeMessages};
+use outgoing::{NodeReply, Output, Reply};
+
+pub use crate::protocol::settings::SettingsDocument;
+
+/// Why the adapter stopped.
+#[derive(Debug, Error)]
+pub enum SimulatorError {
+    /// A line of the input is not the JSON expected.
+    #[error("line {line} is malformed: {source}")]
+    Malformed {
+        /// Number of the line, from 1.
+        line: usize,
+        /// What the parser reports.
+        source: serde_json::Error,
+    },
+    /// A message for a node that was not started.
+    #[error("message for {0}, which has not been started")]
+    NotStarted(String),
+    /// The number of an endpoint list that was not defined.
+    #[error("list {0} has not been set up")]
+    UnknownList(u32),
+    /// Reading or writing failed.
+    #[error("input or output failed: {0}")]
+    Io(#[from] io::Error),
+}
+
+/// Reads batches of messages, one a line, hands each node's to its decision engine and writes one reply for each
+/// batch.
+///
+/// # Errors
+/// At the first line that is malformed or refers to an unknown node or list, and if reading or writing fails.
+pub fn run(input: impl BufRead, mut output: impl Write) -> Result<(), SimulatorError> {
+    let mut simulation = Simulation::default();
+    for (index, line) in input.lines().enumerate() {
+        let batch: Batch = serde_json::from_str(&line?)
+            .map_err(|source| SimulatorError::Malformed { line: index + 1, source })?;
+        let reply = simulation.handle_batch(batch)?;
+        serde_json::to_writer(&mut output, &reply).map_err(io::Error::from)?;
+        output.write_all(b"\n")?;
+        output.flush()?;
+    }
+    Ok(())
+}
+
+/// The nodes that run, and the endpoint lists that messages to them refer to.
+#[derive(Default)]
+struct Simulation {
+    engines: BTreeMap<String, DecisionEngine>,
+    lists: EndpointLists,
+}
+
+impl Simulation {
+    fn handle_batch(&mut self, batch: Batch) -> Result<Reply, SimulatorError> {
+        let mut nodes = Vec::new();
+        for node in batch.nodes {
+            let reply = self.handle_messages(batch.time, node)?;
+            if !reply.messages.is_empty() {
+                nodes.push(reply);
+            }
+        }
+        Ok(Reply { nodes })
+    }
+
+    fn handle_messages(&mut self, time: Micros, node: NodeMessages) -> Result<NodeReply, SimulatorError> {
+        let mut actions = Vec::new();
+        for message in node.messages {
+            self.handle_message(time, &node.node_id, message, &mut actions)?;
+        }
+        let messages = actions.into_iter().map(Output::from).collect();
+        Ok(NodeReply { node_id: node.node_id, messages })
+    }
+
+    fn handle_message(
+        &mut self,
+        time: Micros,
+        node_id: &str,
+        message: Message,
+        actions: &mut Vec<Action>,
+    ) -> Result<(), SimulatorError> {
+        match message {
+            Message::Start { seed, settings } => {
+                let engine = DecisionEngine::new(seed, (*settings).into());
+                self.engines.insert(node_id.to_owned(), engine);
+            }
+            Message::DefineEndpointList { list, entries } => {
+                let entries = entries.into_iter().map(EndpointEntry::from).collect();
+                self.lists.insert(list, entries);
+            }
+            Message::Killed => {
+                self.engines.remove(node_id);
+                // What a killed process decided in this batch never left it.
+                actions.clear();
+            }
+            other => {
+                let Some(event) = other.into_event(&self.lists)? else { return Ok(()) };
+                let engine = self
+                    .engines
+                    .get_mut(node_id)
+                    .ok_or_else(|| SimulatorError::NotStarted(node_id.to_owned()))?;
+                engine.handle(time, event, actions);
+            }
+        }
+        Ok(())
+    }
+}
