--- a/src/main.rs
+++ b/src/main.rs
@@ -21,7 +21,7 @@
 use edge_node::net::descriptor_budget::DescriptorBudget;
 use edge_node::net::discovery::parser::List;
 use edge_node::net::discovery::{Discovery, WatchSchedule};
-use edge_node::net::downstream::{DownstreamServer, Rules};
+use edge_node::net::downstream::{DownstreamServer, RequestRules};
 use edge_node::net::event_loop::EventLoop;
 use edge_node::net::shutdown_schedule::ShutdownSchedule;
 use edge_node::net::upstream::Upstreams;
@@ -132,7 +132,7 @@
     let mut env = config.settings;
     let (zones, kinds) = (std::mem::take(&mut env.zones), std::mem::take(&mut env.machine_kinds));
     let conn_idle = env.limits.connection_idle_timeout;
-    let rules = Rules::new(&env);
+    let rules = RequestRules::new(&env);
     let settings = Settings::from(env);
     let connect_timeout = settings.limits.connect_timeout;
     let longest = settings.classes.iter().map(|class| class.total_timeout).max().unwrap_or(0);
@@ -164,11 +164,11 @@
     let begun = Instant::now();
     node.stop();
     sleep_until(begun + timetable.idle).await;
-    clients.close_idle();
+    clients.close_idle_connections();
     sleep_until(begun + timetable.deaf).await;
     clients.close_listener();
     node.event(Event::ShutdownStarted);
-    clients.close_idle();
+    clients.close_idle_connections();
     let over = || accepting.is_finished() && !node.waited_for() && budget.clients() == 0 && counter.settled();
     while !over() && Instant::now() < begun + timetable.fail {
         sleep(LAST_LOOKS).await;
--- /dev/null
+++ b/src/net/downstream/handler.rs
@@ -0,0 +1,149 @@
+//! Answers one request of a client: validates it, reads its body, and waits for the decisions' final response.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::body::{Body, Incoming};
+use hyper::http::request::Parts;
+use hyper::{Method, Request, Response, Uri};
+use tokio::time::{timeout_at, Instant};
+
+use crate::decision::{NewRequest, RequestId};
+use crate::net::downstream::framing::BodyFraming;
+use crate::net::downstream::request::{RequestError, RequestRules};
+use crate::net::downstream::response::{close_connection, FinalResponse};
+use crate::net::event_loop::EventLoop;
+use crate::net::http_client::{whole, BadBody};
+use crate::net::upstream::{Forward, BODY_MOST};
+use crate::protocol::headers;
+
+/// The path by which a node's readiness is checked, and the response of a node that is ready.
+const READINESS_PATH: &str = "/up";
+const READINESS_BODY: &[u8] = b"up\n";
+/// How long a body may take, from when its head was validated.
+const BODY_TIMEOUT: Duration = Duration::from_millis(1_500);
+
+/// Answers the requests of clients.
+pub struct RequestHandler {
+    event_loop: Rc<EventLoop>,
+    rules: RequestRules,
+}
+
+impl RequestHandler {
+    /// A handler that checks requests by these rules and hands them to this event loop.
+    pub fn new(event_loop: Rc<EventLoop>, rules: RequestRules) -> Self {
+        RequestHandler { event_loop, rules }
+    }
+
+    /// Answers one request. Dropping the future before it ends means that the client has disconnected.
+    pub async fn handle(&self, request: Request<Incoming>, framing: BodyFraming) -> Response<Full<Bytes>> {
+        let final_response = match self.serve(request, framing).await {
+            Ok(final_response) => final_response,
+            Err(error) => FinalResponse::Invalid(error),
+        };
+        // The end of a chunked body is not followed in what was read ahead, so no request is read behind one.
+        let closes = final_response.closes_connection()
+            || framing == BodyFraming::Chunked
+            || self.event_loop.stopping();
+        let mut response = final_response.into_http();
+        if closes {
+            close_connection(&mut response);
+        }
+        response
+    }
+
+    async fn serve(
+        &self,
+        request: Request<Incoming>,
+        framing: BodyFraming,
+    ) -> Result<FinalResponse, RequestError> {
+        let received_at = self.event_loop.clock.now();
+        let (head, body) = request.into_parts();
+        if head.uri.path() == READINESS_PATH {
+            return readiness(&head.method);
+        }
+        if framing == BodyFraming::Ambiguous {
+            return Err(RequestError::AmbiguousFraming);
+        }
+        let new_request = self.rules.validate(&head, received_at)?;
+        let response_due = self.event_loop.last_call(new_request.deadline);
+        let body = read_body(&head.method, body, response_due).await?;
+        let forward = forwarded_request(head, body)?;
+        self.final_response(new_request, forward, response_due).await
+    }
+
+    /// Hands a request to the decisions and waits for its final response.
+    async fn final_response(
+        &self,
+        new_request: NewRequest,
+        forward: Forward,
+        response_due: Instant,
+    ) -> Result<FinalResponse, RequestError> {
+        let request = new_request.id.clone();
+        let answer = self.event_loop.take(new_request, forward).map_err(|_| RequestError::IdInUse)?;
+        let _disconnect_guard = DisconnectGuard { event_loop: &self.event_loop, request: &request };
+        Ok(match timeout_at(response_due, answer).await {
+            Ok(Ok(answer)) => answer.into(),
+            // Not a rejection: the attempts may have run.
+            Ok(Err(_)) => FinalResponse::Failed,
+            Err(_) => FinalResponse::TimedOut,
+        })
+    }
+}
+
+/// Reports on drop that the client of a request waits no longer. For a request that has its response by then the event
+/// loop ignores it.
+struct DisconnectGuard<'a> {
+    event_loop: &'a Rc<EventLoop>,
+    request: &'a RequestId,
+}
+
+impl Drop for DisconnectGuard<'_> {
+    fn drop(&mut self) {
+        self.event_loop.gone(self.request);
+    }
+}
+
+fn readiness(method: &Method) -> Result<FinalResponse, RequestError> {
+    if method == Method::GET {
+        Ok(FinalResponse::Served(Bytes::from_static(READINESS_BODY)))
+    } else {
+        Err(RequestError::MethodNotAllowed)
+    }
+}
+
+/// Reads a request's body, by the time at which its response is due at the latest.
+async fn read_body(method: &Method, body: Incoming, response_due: Instant) -> Result<Bytes, RequestError> {
+    if method == Method::GET && !body.is_end_stream() {
+        return Err(RequestError::BodyOfGet);
+    }
+    let body_due = response_due.min(Instant::now() + BODY_TIMEOUT);
+    match timeout_at(body_due, whole(body, BODY_MOST)).await {
+        Ok(Ok(body)) => Ok(body),
+        Ok(Err(BadBody::TooLong)) => Err(RequestError::BodyTooLong),
+        Ok(Err(BadBody::Broken | BadBody::Malformed)) => Err(RequestError::BodyIncomplete),
+        Err(_) => Err(RequestError::BodyTimeout),
+    }
+}
+
+/// The request as it is sent to an endpoint.
+fn forwarded_request(head: Parts, body: Bytes) -> Result<Forward, RequestError> {
+    let mut headers = head.headers;
+    Ok(Forward {
+        method: head.method,
+        uri: origin_form(head.uri)?,
+        id: headers.remove(headers::REQUEST_ID).ok_or(RequestError::NoRequestId)?,
+        key: headers.remove(headers::IDEMPOTENCY_KEY),
+        body,
+    })
+}
+
+/// Path and query alone, also of a request in absolute form.
+fn origin_form(uri: Uri) -> Result<Uri, RequestError> {
+    if uri.scheme().is_none() {
+        return Ok(uri);
+    }
+    uri.path_and_query().cloned().map(Uri::from).ok_or(RequestError::NoPath)
+}
--- /dev/null
+++ b/src/net/downstream/observed_stream.rs
@@ -0,0 +1,84 @@
+//! A client's socket that notes the bytes read from it in the state of its connection.
+
+use std::io;
+use std::net::Shutdown;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{ready, Context, Poll};
+
+use socket2::SockRef;
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+
+use crate::net::downstream::connection_state::ConnectionState;
+
+/// A client's socket that notes the bytes read from it. The task that serves the connection shares the socket.
+pub struct ObservedStream {
+    /// The socket.
+    pub stream: Rc<TcpStream>,
+    /// The state of its connection.
+    pub state: Rc<ConnectionState>,
+}
+
+impl AsyncRead for ObservedStream {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let filled_before = buffer.filled().len();
+        loop {
+            ready!(self.stream.poll_read_ready(context))?;
+            match self.stream.try_read_buf(buffer) {
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) => return Poll::Ready(Err(error)),
+                Ok(_) => break,
+            }
+        }
+        self.state.bytes_received(&buffer.filled()[filled_before..]);
+        Poll::Ready(Ok(()))
+    }
+}
+
+impl ObservedStream {
+    /// Writes by `write` as soon as the socket accepts bytes.
+    fn poll_write_by(
+        &self,
+        context: &mut Context<'_>,
+        write: impl Fn(&TcpStream) -> io::Result<usize>,
+    ) -> Poll<io::Result<usize>> {
+        loop {
+            ready!(self.stream.poll_write_ready(context))?;
+            match write(&self.stream) {
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                written => return Poll::Ready(written),
+            }
+        }
+    }
+}
+
+impl AsyncWrite for ObservedStream {
+    fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+        self.poll_write_by(context, |stream| stream.try_write(bytes))
+    }
+
+    fn poll_write_vectored(
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        slices: &[io::IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        self.poll_write_by(context, |stream| stream.try_write_vectored(slices))
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        true
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Poll::Ready(Ok(()))
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Poll::Ready(SockRef::from(&*self.stream).shutdown(Shutdown::Write))
+    }
+}
--- a/src/net/downstream/pipeline.rs
+++ b/src/net/downstream/pipeline.rs
@@ -1,80 +1,93 @@
-//! What a client has sent behind its open request. What is read ahead with one request lies neither in the socket
-//! nor in a request, and a connection closed over it would lose what has begun.
+//! Which bytes of a connection belong to which request.
+//!
+//! Bytes that were read ahead with one request are neither in the socket nor part of a request that was opened; a
+//! connection closed over them would lose the request that they begin.
 
 use bytes::{Buf, BytesMut};
 
-/// Past this much that belongs to no request yet, something has surely begun, and no more of it is kept.
-const KEPT_MOST: usize = 128 * 1024;
+/// Most bytes kept that belong to no request yet. With more, a request has begun in any case.
+const MAX_BYTES_AHEAD: usize = 128 * 1024;
 
-/// Which bytes of a connection belong to the requests that have been opened.
+/// Whether the head of a request has a `Content-Length`.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum LengthHeader {
+    /// It has none.
+    Absent,
+    /// It has one, or may have: the end of the head is not known.
+    Possible,
+}
+
+/// Tells the bytes of the request in progress from those of the next ones.
 #[derive(Default)]
 pub struct Pipeline {
-    /// What has come and belongs to no open request.
-    ahead: BytesMut,
-    /// How much of the open request's body is still to come; none if nobody knows.
-    body: Option<usize>,
+    /// Bytes that were read and belong to no request that was started.
+    bytes_ahead: BytesMut,
+    /// How many bytes of the current request's body are still to come; none if the body's end is unknown.
+    body_remaining: Option<usize>,
 }
 
 impl Pipeline {
-    /// A connection on which nothing has come.
+    /// A connection on which nothing was received.
     pub fn new() -> Self {
-        Pipeline { ahead: BytesMut::new(), body: Some(0) }
+        Pipeline { bytes_ahead: BytesMut::new(), body_remaining: Some(0) }
+    }
+
+    /// Notes bytes that were read from the connection.
+    pub fn bytes_received(&mut self, bytes: &[u8]) {
+        let Some(body_remaining) = &mut self.body_remaining else { return };
+        let of_body = bytes.len().min(*body_remaining);
+        *body_remaining -= of_body;
+        let behind_body = &bytes[of_body..];
+        let capacity = MAX_BYTES_AHEAD.saturating_sub(self.bytes_ahead.len());
+        self.bytes_ahead.extend_from_slice(&behind_body[..behind_body.len().min(capacity)]);
     }
 
-    /// These bytes have been read.
-    pub fn came(&mut self, bytes: &[u8]) {
-        let rest = match &mut self.body {
-            None => return,
-            Some(body) => {
-                let own = bytes.len().min(*body);
-                *body -= own;
-                &bytes[own..]
-            }
+    /// Notes that the next request was started, with a body of this many bytes; none if its end is unknown, after which
+    /// no further request is served. Returns whether its head has a `Content-Length`: hyper drops that of a chunked
+    /// body.
+    pub fn request_started(&mut self, body_length: Option<usize>) -> LengthHeader {
+        self.skip_empty_lines();
+        let head_end = head_end(&self.bytes_ahead);
+        let length_header = match head_end {
+            Some(end) if !has_content_length(&self.bytes_ahead[..end]) => LengthHeader::Absent,
+            _ => LengthHeader::Possible,
         };
-        let room = KEPT_MOST.saturating_sub(self.ahead.len());
-        self.ahead.extend_from_slice(&rest[..rest.len().min(room)]);
+        self.bytes_ahead.advance(head_end.unwrap_or(self.bytes_ahead.len()));
+        self.body_remaining = body_length.map(|length| self.skip_body(length));
+        length_header
     }
 
-    /// The next request has been opened, with a body of so many bytes; none where its end can't be known, after
-    /// which nothing is served any more. Tells whether its head names a length, or may: of a body in chunks hyper has
-    /// dropped that by now.
-    pub fn opened(&mut self, body: Option<usize>) -> bool {
-        self.skip_line_ends();
-        let end = head_end(&self.ahead);
-        let length = end.is_none_or(|end| names_length(&self.ahead[..end]));
-        self.ahead.advance(end.unwrap_or(self.ahead.len()));
-        self.body = body;
-        if let Some(body) = &mut self.body {
-            let own = self.ahead.len().min(*body);
-            self.ahead.advance(own);
-            *body -= own;
-        }
-        length
+    /// Whether some bytes of a further request were received. Empty lines before it don't count.
+    pub fn has_partial_request(&self) -> bool {
+        self.bytes_ahead.iter().any(|byte| !matches!(byte, b'\r' | b'\n'))
     }
 
-    /// Whether some of a further request has come. Empty lines before it say nothing.
-    pub fn begun(&self) -> bool {
-        self.ahead.iter().any(|byte| !matches!(byte, b'\r' | b'\n'))
+    /// Drops what was read ahead of a body, and returns how many of its bytes are still to come.
+    fn skip_body(&mut self, length: usize) -> usize {
+        let read_ahead = self.bytes_ahead.len().min(length);
+        self.bytes_ahead.advance(read_ahead);
+        length - read_ahead
     }
 
-    fn skip_line_ends(&mut self) {
-        let ends = self.ahead.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
-        self.ahead.advance(ends);
+    fn skip_empty_lines(&mut self) {
+        let line_ends = self.bytes_ahead.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
+        self.bytes_ahead.advance(line_ends);
     }
 }
 
 /// Where a head ends, behind its empty line. Line ends may lack the carriage return.
 fn head_end(bytes: &[u8]) -> Option<usize> {
-    (0..bytes.len()).filter(|&at| bytes[at] == b'\n').find_map(|at| match &bytes[at + 1..] {
+    let mut line_ends = bytes.iter().enumerate().filter(|(_, &byte)| byte == b'\n').map(|(at, _)| at);
+    line_ends.find_map(|at| match &bytes[at + 1..] {
         [b'\n', ..] => Some(at + 2),
         [b'\r', b'\n', ..] => Some(at + 3),
         _ => None,
     })
 }
 
-/// Whether a line of this head is a `Content-Length`. Names end at their colon: hyper refuses a space before it.
-fn names_length(head: &[u8]) -> bool {
-    const NAME: &[u8] = b"content-length:";
+/// Whether a line of this head is a `Content-Length`. Names end at their colon: hyper rejects a space before it.
+fn has_content_length(head: &[u8]) -> bool {
+    const PREFIX: &[u8] = b"content-length:";
     head.split(|&byte| byte == b'\n')
-        .any(|line| line.get(..NAME.len()).is_some_and(|name| name.eq_ignore_ascii_case(NAME)))
+        .any(|line| line.get(..PREFIX.len()).is_some_and(|name| name.eq_ignore_ascii_case(PREFIX)))
 }
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -134,27 +134,27 @@
     // In one piece and byte by byte, whatever the line ends are.
     for text in [format!("\r\n{head}slip!"), format!("{}slip!", head.replace('\r', ""))] {
         let mut whole = Pipeline::new();
-        whole.came(format!("{text}\r\n").as_bytes());
-        assert!(whole.begun());
-        whole.opened(Some(5));
-        assert!(!whole.begun(), "empty lines begin no request");
-        whole.came(b"P");
-        assert!(whole.begun());
+        whole.bytes_received(format!("{text}\r\n").as_bytes());
+        assert!(whole.has_partial_request());
+        whole.request_started(Some(5));
+        assert!(!whole.has_partial_request(), "empty lines begin no request");
+        whole.bytes_received(b"P");
+        assert!(whole.has_partial_request());
         let mut parts = Pipeline::new();
         let (before, body) = text.split_at(text.len() - 5);
-        before.bytes().for_each(|byte| parts.came(&[byte]));
-        parts.opened(Some(5));
-        body.bytes().for_each(|byte| parts.came(&[byte]));
-        assert!(!parts.begun());
-        parts.came(text.as_bytes());
-        assert!(parts.begun());
+        before.bytes().for_each(|byte| parts.bytes_received(&[byte]));
+        parts.request_started(Some(5));
+        body.bytes().for_each(|byte| parts.bytes_received(&[byte]));
+        assert!(!parts.has_partial_request());
+        parts.bytes_received(text.as_bytes());
+        assert!(parts.has_partial_request());
     }
     // Behind a body without an end nothing is served any more.
     let mut endless = Pipeline::new();
-    endless.came(head.as_bytes());
-    endless.opened(None);
-    endless.came(head.as_bytes());
-    assert!(!endless.begun());
+    endless.bytes_received(head.as_bytes());
+    endless.request_started(None);
+    endless.bytes_received(head.as_bytes());
+    assert!(!endless.has_partial_request());
 }
 
 #[test]
