--- /dev/null
+++ b/src/app.rs
@@ -0,0 +1,246 @@
+//! One node as a process: builds its parts, runs them, reloads the configuration on SIGHUP and shuts down by the
+//! schedule on SIGTERM or SIGINT.
+
+use std::future::Future;
+use std::io;
+use std::mem;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use thiserror::Error;
+use tokio::net::{TcpListener, TcpSocket};
+use tokio::runtime::LocalOptions;
+use tokio::signal::unix::{signal, Signal, SignalKind};
+use tokio::task::JoinHandle;
+use tokio::time::{sleep, sleep_until, Instant};
+
+use crate::config::{self, Config, ConfigError, ServiceAddresses};
+use crate::decision::{DecisionEngine, Event, Settings};
+use crate::net::counter::CounterClient;
+use crate::net::descriptor_budget::DescriptorBudget;
+use crate::net::discovery::{Discovery, WatchSchedule};
+use crate::net::downstream::{DownstreamServer, RequestRules};
+use crate::net::event_loop::EventLoop;
+use crate::net::shutdown_schedule::ShutdownSchedule;
+use crate::net::upstream::Upstreams;
+use crate::protocol::settings::SettingsDocument;
+
+/// How often a node that shuts down checks whether everything is answered.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// How many connections the kernel holds that are not accepted yet.
+const LISTEN_BACKLOG: u32 = 1024;
+
+/// Why the node could not start.
+#[derive(Debug, Error)]
+pub enum StartError {
+    /// There is no usable configuration.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The address to listen on can't be used.
+    #[error("cannot listen on {address}: {source}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// What the system reports.
+        source: io::Error,
+    },
+    /// The system denies the runtime, a signal handler or the limit of descriptors.
+    #[error("cannot start: {0}")]
+    System(#[source] io::Error),
+}
+
+/// Runs the node that the environment's configuration describes, until a signal ends it.
+///
+/// # Errors
+/// If the node can't start. A node that has started ends without an error.
+pub fn run() -> Result<(), StartError> {
+    let config_path = config::path_from_environment()?;
+    let config = Config::load(&config_path)?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build_local(LocalOptions::default())
+        .map_err(StartError::System)?;
+    runtime.block_on(run_node(config, config_path))
+}
+
+async fn run_node(config: Config, config_path: String) -> Result<(), StartError> {
+    let mut signals = Signals::install()?;
+    let budget = descriptor_budget(config.max_descriptors)?;
+    let node = Node::build(config.settings, config.seed, &config.services, budget);
+    let listener = listen(config.listen_address)
+        .map_err(|source| StartError::Listen { address: config.listen_address, source })?;
+    let bound_address = listener.local_addr().map_err(StartError::System)?;
+    eprintln!("edge-node: listening on {bound_address}");
+
+    node.discovery.start(&node.event_loop, config.known_endpoints);
+    node.counter.start(&node.event_loop);
+    tokio::task::spawn_local(node.reloader(signals.hangup, config_path).run());
+    let accepting = tokio::task::spawn_local(node.accept(listener));
+    wait_for_either(&mut signals.terminate, &mut signals.interrupt).await;
+    node.shut_down(&accepting).await;
+    Ok(())
+}
+
+/// The signals that the process handles.
+struct Signals {
+    hangup: Signal,
+    terminate: Signal,
+    interrupt: Signal,
+}
+
+impl Signals {
+    fn install() -> Result<Self, StartError> {
+        let install = |kind| signal(kind).map_err(StartError::System);
+        Ok(Signals {
+            hangup: install(SignalKind::hangup())?,
+            terminate: install(SignalKind::terminate())?,
+            interrupt: install(SignalKind::interrupt())?,
+        })
+    }
+}
+
+async fn wait_for_either(first: &mut Signal, second: &mut Signal) {
+    tokio::select! {
+        _ = first.recv() => {}
+        _ = second.recv() => {}
+    }
+}
+
+/// The budget for as many descriptors as the system allows, up to this number.
+fn descriptor_budget(max_descriptors: usize) -> Result<Rc<DescriptorBudget>, StartError> {
+    let allowed = rlimit::increase_nofile_limit(max_descriptors as u64).map_err(StartError::System)?;
+    Ok(DescriptorBudget::new(max_descriptors.min(allowed as usize)))
+}
+
+fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    socket.set_reuseaddr(true)?;
+    socket.bind(address)?;
+    socket.listen(LISTEN_BACKLOG)
+}
+
+/// The parts of a running node.
+struct Node {
+    event_loop: Rc<EventLoop>,
+    discovery: Rc<Discovery>,
+    counter: Rc<CounterClient>,
+    downstream: Rc<DownstreamServer>,
+    budget: Rc<DescriptorBudget>,
+    shutdown_schedule: ShutdownSchedule,
+    polls_endpoint_list: bool,
+}
+
+impl Node {
+    fn build(
+        mut document: SettingsDocument,
+        seed: u64,
+        services: &ServiceAddresses,
+        budget: Rc<DescriptorBudget>,
+    ) -> Node {
+        let zones = mem::take(&mut document.zones);
+        let machine_kinds = mem::take(&mut document.machine_kinds);
+        let connection_idle_timeout = document.limits.connection_idle_timeout;
+        let rules = RequestRules::new(&document);
+        let settings = Settings::from(document);
+        let shutdown_schedule = ShutdownSchedule::new(longest_total_timeout(&settings));
+        let polls_endpoint_list = settings.polls_endpoint_list;
+
+        let upstreams =
+            Upstreams::new(budget.clone(), settings.limits.connect_timeout, connection_idle_timeout);
+        let counter_address = services.counter.filter(|_| settings.counter.enabled);
+        let counter = CounterClient::new(counter_address, settings.counter.timeout);
+        let watch_schedule = WatchSchedule::new(seed, settings.node_count, polls_endpoint_list);
+        let discovery = Discovery::new(services.discovery, zones, machine_kinds, watch_schedule);
+        let max_attempts = settings.limits.max_attempts;
+        let engine = DecisionEngine::new(seed, settings);
+        let event_loop = EventLoop::new(engine, max_attempts, upstreams, counter.clone(), discovery.clone());
+        let downstream = DownstreamServer::new(event_loop.clone(), rules, budget.clone());
+        Node { event_loop, discovery, counter, downstream, budget, shutdown_schedule, polls_endpoint_list }
+    }
+
+    /// Accepts clients until the listener closes. Where the endpoint list is pushed, the first clients wait for it. Where
+    /// it is polled, all nodes poll one service and their first calls are spread over time, so clients don't wait.
+    fn accept(&self, listener: TcpListener) -> impl Future<Output = ()> + 'static {
+        let discovery = self.discovery.clone();
+        let polls_endpoint_list = self.polls_endpoint_list;
+        let first_list = async move {
+            if !polls_endpoint_list {
+                discovery.told().await;
+            }
+        };
+        self.downstream.clone().accept(listener, first_list)
+    }
+
+    fn reloader(&self, hangup: Signal, config_path: String) -> Reloader {
+        Reloader {
+            hangup,
+            config_path,
+            event_loop: self.event_loop.clone(),
+            discovery: self.discovery.clone(),
+            counter: self.counter.clone(),
+        }
+    }
+
+    /// Shuts down by the schedule: closes idle connections, then the listener, fails what is still unanswered, and
+    /// returns once everything is answered and written, or its time is up.
+    async fn shut_down(&self, accepting: &JoinHandle<()>) {
+        let started_at = Instant::now();
+        let schedule = &self.shutdown_schedule;
+        self.event_loop.stop();
+        sleep_until(started_at + schedule.idle).await;
+        self.downstream.close_idle_connections();
+        sleep_until(started_at + schedule.deaf).await;
+        self.downstream.close_listener();
+        self.event_loop.event(Event::ShutdownStarted);
+        self.downstream.close_idle_connections();
+        self.drain_until(started_at + schedule.fail, accepting).await;
+        self.event_loop.fail_all();
+        self.drain_until(started_at + schedule.end, accepting).await;
+    }
+
+    /// Returns once the node is drained, at this time at the latest.
+    async fn drain_until(&self, limit: Instant, accepting: &JoinHandle<()>) {
+        while !self.is_drained(accepting) && Instant::now() < limit {
+            sleep(DRAIN_CHECK_INTERVAL).await;
+        }
+    }
+
+    /// Whether no client is connected or still waits for a response, and the counter's calls have ended.
+    fn is_drained(&self, accepting: &JoinHandle<()>) -> bool {
+        accepting.is_finished()
+            && !self.event_loop.waited_for()
+            && self.budget.clients() == 0
+            && self.counter.settled()
+    }
+}
+
+fn longest_total_timeout(settings: &Settings) -> Duration {
+    let longest = settings.classes.iter().map(|class| class.total_timeout).max();
+    Duration::from_micros(longest.unwrap_or(0))
+}
+
+/// Reads the addresses of discovery and the counter service anew on each SIGHUP, also during shutdown.
+struct Reloader {
+    hangup: Signal,
+    config_path: String,
+    event_loop: Rc<EventLoop>,
+    discovery: Rc<Discovery>,
+    counter: Rc<CounterClient>,
+}
+
+impl Reloader {
+    async fn run(mut self) {
+        while self.hangup.recv().await.is_some() {
+            match ServiceAddresses::load(&self.config_path) {
+                Ok(services) => self.apply(&services),
+                Err(error) => eprintln!("edge-node: the old configuration stays: {error}"),
+            }
+        }
+    }
+
+    fn apply(&self, services: &ServiceAddresses) {
+        self.discovery.move_to(&self.event_loop, services.discovery);
+        self.counter.move_to(&self.event_loop, services.counter);
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! The decisions are one pure state machine, [`decision::DecisionEngine`]: events go in with the time, actions
 //! come out. It opens no socket and reads no clock. [`net`] joins it to sockets, [`protocol`] to the serialized
-//! forms of settings and of the simulator's messages.
+//! forms of settings and of the simulator's messages. [`app`] runs a node as a process by its [`config`].
 //!
 //! ```
 //! use edge_node::decision::{
@@ -39,6 +39,8 @@
 //! ```
 #![forbid(unsafe_code)]
 
+pub mod app;
+pub mod config;
 pub mod decision;
 pub mod net;
 pub mod protocol;
