--- a/src/net/downstream/framing.rs
+++ b/src/net/downstream/framing.rs
@@ -18,8 +18,8 @@
 }
 
 impl BodyFraming {
-    /// The framing of the request with these headers. What they say of a length is asked of the bytes, since hyper
-    /// drops the length of a chunked body.
+    /// The framing of the request with these headers. `length_header` comes from the bytes of the head, since hyper
+    /// drops the `Content-Length` of a chunked body.
     pub fn of(headers: &HeaderMap, length_header: LengthHeader) -> Self {
         let mut encodings = headers.get_all(TRANSFER_ENCODING).iter();
         let Some(encoding) = encodings.next() else { return BodyFraming::Length };
--- a/src/net/downstream/pipeline.rs
+++ b/src/net/downstream/pipeline.rs
@@ -17,7 +17,7 @@
     Possible,
 }
 
-/// Tells the bytes of the request in progress from those of the next ones.
+/// Separates the bytes of the request in progress from those of the next ones.
 #[derive(Default)]
 pub struct Pipeline {
     /// Bytes that were read and belong to no request that was started.
--- a/src/net/downstream/request.rs
+++ b/src/net/downstream/request.rs
@@ -38,7 +38,7 @@
     /// The path is for reading only.
     #[error("GET alone is served here")]
     MethodNotAllowed,
-    /// It can't be told where the body ends.
+    /// Where the body ends is unknown.
     #[error("a body has a length or comes in chunks, not both and in no other encoding")]
     AmbiguousFraming,
     /// A header that may come once comes twice.
@@ -125,7 +125,7 @@
     max_request_units: f64,
 }
 
-/// What requests of one class look like.
+/// The form of requests of one class.
 struct ClassRule {
     name: String,
     idempotency: Idempotency,
@@ -275,7 +275,7 @@
 
 fn deadline_ms(headers: &HeaderMap) -> Result<u64, RequestError> {
     header_text(headers, &headers::DEADLINE)
-        .and_then(whole_number)
+        .and_then(parse_digits)
         .filter(|&milliseconds| milliseconds <= MAX_DEADLINE_MS)
         .ok_or(RequestError::NoDeadline)
 }
@@ -288,9 +288,9 @@
     for part in text.split(',') {
         let (name, value) = part.trim().split_once('=')?;
         let is_repeated = match name {
-            "units" => units.replace(decimal_number(value)?).is_some(),
-            "spread" => account_node_count.replace(whole_number(value)?).is_some(),
-            "first" => first_account_node.replace(whole_number(value)?).is_some(),
+            "units" => units.replace(parse_decimal(value)?).is_some(),
+            "spread" => account_node_count.replace(parse_digits(value)?).is_some(),
+            "first" => first_account_node.replace(parse_digits(value)?).is_some(),
             _ => false,
         };
         if is_repeated {
@@ -308,8 +308,8 @@
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// A whole number of digits alone.
-fn whole_number<T: FromStr>(text: &str) -> Option<T> {
+/// A number written in digits alone.
+fn parse_digits<T: FromStr>(text: &str) -> Option<T> {
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return None;
     }
@@ -317,7 +317,7 @@
 }
 
 /// A number in decimal notation, with no sign or exponent.
-fn decimal_number(text: &str) -> Option<f64> {
+fn parse_decimal(text: &str) -> Option<f64> {
     if !text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.') {
         return None;
     }
--- a/src/net/downstream/response.rs
+++ b/src/net/downstream/response.rs
@@ -1,4 +1,4 @@
-//! What each final response looks like on the wire: status, headers and body.
+//! The form of each final response on the wire: status, headers and body.
 
 use bytes::Bytes;
 use http_body_util::Full;
--- a/src/protocol/headers.rs
+++ b/src/protocol/headers.rs
@@ -16,5 +16,5 @@
 pub const RETRY: HeaderName = HeaderName::from_static("x-retry");
 /// The key by which endpoints drop a repeat of a request: `Idempotency-Key`.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// On an endpoint's error response: the request surely did not run, `X-Not-Run`.
+/// On an endpoint's error response: the request did not run, `X-Not-Run`.
 pub const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
--- a/src/protocol/simulator/outgoing.rs
+++ b/src/protocol/simulator/outgoing.rs
@@ -1,4 +1,4 @@
-//! The nodes' messages to the simulator, and the action that each of them stands for.
+//! The nodes' messages to the simulator, and the action that each of them is.
 
 use serde::Serialize;
 
