--- a/src/lib.rs
+++ b/src/lib.rs
@@ -35,7 +35,7 @@
 //!     first_account_node: 0, account_node_count: 1, is_retry: false, deadline: 2_000_000,
 //! };
 //! engine.handle(2_000, Event::RequestReceived(request), &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::StartAttempt { endpoint: EndpointId(4), .. })));
+//! assert!(actions.iter().any(|action| matches!(action, Action::StartAttempt { endpoint: EndpointId(4), .. })));
 //! ```
 #![forbid(unsafe_code)]
 
--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -1,238 +1,267 @@
-//! Clients that leave while their request waits: it is not sent on any more, wherever it waits.
+//! Clients that disconnect while their request waits: wherever it waits, it is not sent any more.
 
 mod fakes;
 
 use std::array::from_fn;
-use std::net::SocketAddr;
+use std::mem::swap;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::time::{Duration, Instant};
 
-use fakes::*;
+use fakes::{ask, config, entry, next_of, App, Ask, Client, Counts, Edge, Lists, Seen, PATIENCE};
 use serde_json::json;
+use tokio::net::TcpSocket;
 
-/// A client whose request the node has in work. Two ask under one id, and nothing orders them: one is turned away.
-fn in_work(edge: &Edge, request: &Ask) -> Client {
-    let (mut one, mut other) = (edge.client(), edge.client());
-    one.ask(request);
-    other.ask(request);
-    let until = std::time::Instant::now() + PATIENCE;
-    while !one.has_answer() {
-        assert!(std::time::Instant::now() < until, "neither of two under one id is turned away");
-        std::mem::swap(&mut one, &mut other);
+/// A time limit longer than any test takes.
+const UNLIMITED_MS: u64 = 600_000;
+const UNLIMITED_CONNECT_MICROS: u64 = 60_000_000;
+
+/// A client whose request is in progress at the node. Two clients ask under one id, in no certain order; the node
+/// rejects the request that it reads second.
+fn client_in_progress(edge: &Edge, request: &Ask) -> Client {
+    let mut rejected = edge.client();
+    let mut accepted = edge.client();
+    rejected.ask(request);
+    accepted.ask(request);
+    let until = Instant::now() + PATIENCE;
+    while !rejected.has_answer() {
+        assert!(Instant::now() < until, "neither of two requests under one id is rejected");
+        swap(&mut rejected, &mut accepted);
     }
-    assert_eq!(one.answer().status(), 409);
-    other
+    assert_eq!(rejected.answer().status(), 409);
+    accepted
 }
 
-/// Leaves in order and waits until the node has noticed: until it has closed its side, too.
-fn leave(mut client: Client) {
+/// Closes the client's side and waits until the node has noticed: until it has closed its side, too.
+fn disconnect(mut client: Client) {
     client.half_close();
     assert_eq!(client.rest(), "");
 }
 
-/// Asks under the id of one that has left: it is free again, or this is turned away.
-fn anew(edge: &Edge, request: &Ask) -> Client {
+/// Asks under the id of a client that has disconnected. The id must be free, or this request is rejected.
+fn ask_again(edge: &Edge, request: &Ask) -> Client {
     let mut client = edge.client();
     client.ask(request);
     client
 }
 
+fn without_time_limit(class: &'static str, id: &str) -> Ask {
+    Ask { deadline_ms: UNLIMITED_MS, ..ask(class, id) }
+}
+
 #[test]
-fn a_client_that_leaves_behind_bytes_of_a_next_request_is_noticed() {
-    // Danger: the end of its connection lies behind bytes that nobody reads until the request has its answer.
-    for behind in [0, 30, 60_000] {
-        let (app, counts) = (App::new(), Counts::new());
-        let mut config = config(&[entry("s-1", app.address, "a", "up")]);
-        config["counter"] = json!(counts.address.to_string());
+fn a_client_that_disconnects_behind_bytes_of_a_further_request_is_noticed() {
+    // The end of its connection is behind bytes that the node does not read before the response.
+    for bytes_behind in [0, 30, 60_000] {
+        let endpoint = App::new();
+        let counter = Counts::new();
+        let mut config = config(&[entry("s-1", endpoint.address, "a", "up")]);
+        config["counter"] = json!(counter.address.to_string());
         config["settings"]["domain"]["count_wait"] = json!(30_000_000);
         let edge = Edge::new(&config);
         let request = Ask { plan: "paid", ..ask("post", "p-1") };
-        let mut client = edge.client();
-        client.raw(&format!("{}{}", request.text(), "x".repeat(behind)));
-        let mut call = counts.next();
-        leave(client);
-        let mut second = anew(&edge, &request);
-        call.total(call.amount);
-        // One request comes, and it is the second client's.
-        app.next().answer("200 OK", "", "second");
+        let mut first = edge.client();
+        first.raw(&format!("{}{}", request.text(), "x".repeat(bytes_behind)));
+        let mut increment = counter.next();
+        disconnect(first);
+        let mut second = ask_again(&edge, &request);
+        increment.total(increment.amount);
+        // One request arrives, and it is the second client's.
+        endpoint.next().answer("200 OK", "", "second");
         assert_eq!(second.answer().body, b"second");
         drop(edge);
-        app.no_request_to_the_end();
+        endpoint.no_request_to_the_end();
     }
 }
 
 #[test]
-fn what_waits_for_a_connection_is_not_sent_once_its_client_has_left() {
-    // Danger: connections that come up late. A full backlog holds one back: the machine drops what comes beyond.
-    let app = FullApp::new();
-    let mut config = config(&[entry("s-1", app.address, "a", "up")]);
-    config["settings"]["bounds"]["connect_timeout"] = json!(60_000_000);
+fn a_request_that_waits_for_a_connection_is_not_sent_once_its_client_has_disconnected() {
+    // A connection that comes up late: the kernel drops the handshakes beyond a full backlog.
+    let full_endpoint = FullEndpoint::new();
+    let mut config = config(&[entry("s-1", full_endpoint.address, "a", "up")]);
+    config["settings"]["bounds"]["connect_timeout"] = json!(UNLIMITED_CONNECT_MICROS);
     let edge = Edge::new(&config);
-    let request = Ask { deadline_ms: 600_000, ..ask("post", "p-1") };
-    leave(in_work(&edge, &request));
-    let mut second = anew(&edge, &request);
-    // Only now does a connection come up. What comes on it is the second client's.
-    let app = app.accept_all();
-    app.next().answer("200 OK", "", "second");
+    let request = without_time_limit("post", "p-1");
+    disconnect(client_in_progress(&edge, &request));
+    let mut second = ask_again(&edge, &request);
+    // Only now does a connection come up. The request on it is the second client's.
+    let endpoint = full_endpoint.accept_all();
+    endpoint.next().answer("200 OK", "", "second");
     assert_eq!(second.answer().body, b"second");
     drop(edge);
-    app.no_request_to_the_end();
+    endpoint.no_request_to_the_end();
 }
 
 #[test]
-fn no_further_attempt_begins_for_a_client_that_has_closed_whatever_lies_behind_its_request() {
-    let behind = ["".to_string(), ask("lookup", "behind").text(), ask("post", "behind").text()[..40].into()];
-    for (number, behind) in behind.into_iter().enumerate() {
-        let (a, b) = (App::new(), App::new());
-        let entries = [entry("s-1", a.address, "a", "up"), entry("s-2", b.address, "a", "up")];
+fn no_further_attempt_begins_for_a_disconnected_client_whatever_is_behind_its_request() {
+    let nothing = String::new();
+    let complete_request = ask("lookup", "behind").text();
+    let partial_request = ask("post", "behind").text()[..40].to_string();
+    for (row, behind) in [nothing, complete_request, partial_request].into_iter().enumerate() {
+        let endpoints = [App::new(), App::new()];
+        let entries =
+            [entry("s-1", endpoints[0].address, "a", "up"), entry("s-2", endpoints[1].address, "a", "up")];
+        let next_request = || next_of(&[&endpoints[0], &endpoints[1]]).1;
         let mut config = config(&entries);
-        // Danger: on a busy machine the hand that answers may take longer than answers usually do, and what is safe
-        // to repeat would be given another try for that, while its client is there.
+        // On a busy machine the test may respond later than endpoints usually do, and a request that is safe to repeat
+        // would get a second attempt for that while its client is still connected.
         config["settings"]["bounds"]["cancel"] = json!(false);
         let edge = Edge::new(&config);
         let mut client = edge.client();
         client.raw(&format!("{}{behind}", ask("lookup", "first").text()));
-        let (_, seen) = next_of(&[&a, &b]);
-        leave(client);
-        // The app server has never run it, so it would go to the other one.
-        seen.answer("503 Service Unavailable", "X-Not-Run: 1\r\n", "");
-        let mut other = edge.client();
+        let first = next_request();
+        disconnect(client);
+        // The request did not run, so for a connected client it would go to the other endpoint.
+        first.answer("503 Service Unavailable", "X-Not-Run: 1\r\n", "");
+        let mut other_client = edge.client();
         for turn in 0..4 {
             let id = format!("later-{turn}");
-            other.ask(&ask("lookup", &id));
-            let (_, seen) = next_of(&[&a, &b]);
-            assert_eq!(seen.id(), id, "row {number}");
-            seen.answer("200 OK", "", "ok");
-            assert_eq!(other.answer().status(), 200);
+            other_client.ask(&ask("lookup", &id));
+            let request = next_request();
+            assert_eq!(request.id(), id, "row {row}");
+            request.answer("200 OK", "", "ok");
+            assert_eq!(other_client.answer().status(), 200);
         }
         drop(edge);
-        a.no_request_to_the_end();
-        b.no_request_to_the_end();
+        for endpoint in endpoints {
+            endpoint.no_request_to_the_end();
+        }
     }
 }
 
 #[test]
-fn what_waits_for_a_descriptor_is_not_sent_once_its_client_has_left() {
-    let (old, app, lists) = (App::new(), App::new(), Lists::new());
-    let mut config = config(&[entry("s-1", old.address, "a", "up")]);
-    config["discovery"] = json!(lists.address.to_string());
-    config["settings"]["bounds"]["connect_timeout"] = json!(60_000_000);
-    // Room for sixteen connections, nine of them clients'.
+fn a_request_that_waits_for_a_descriptor_is_not_sent_once_its_client_has_disconnected() {
+    let old_endpoint = App::new();
+    let new_endpoint = App::new();
+    let discovery = Lists::new();
+    let mut config = config(&[entry("s-1", old_endpoint.address, "a", "up")]);
+    config["discovery"] = json!(discovery.address.to_string());
+    config["settings"]["bounds"]["connect_timeout"] = json!(UNLIMITED_CONNECT_MICROS);
+    // Descriptors for sixteen connections, nine of them for clients.
     config["limits"]["sockets"] = json!(40);
     let edge = Edge::new(&config);
-    // What has begun goes on without its client, and holds a descriptor.
-    let long = |id: &str| Ask { deadline_ms: 600_000, ..ask("post", id) };
-    let mut held = Vec::new();
+    // An attempt in flight goes on without its client, and holds a descriptor.
+    let mut in_flight = Vec::new();
     for number in 0..13 {
         let mut client = edge.client();
-        client.ask(&Ask { class: "lookup", ..long(&format!("held-{number}")) });
-        held.push(old.next());
-        leave(client);
+        client.ask(&without_time_limit("lookup", &format!("held-{number}")));
+        in_flight.push(old_endpoint.next());
+        disconnect(client);
     }
-    lists.push(entry("s-2", app.address, "a", "up"));
-    lists.push(entry("s-1", old.address, "a", "draining"));
-    // Two clients take the next two, and the listener keeps the last for whoever comes: both connections lie there
-    // before the first one's request is read. Neither client is ever idle: that would make room for its attempt.
-    let (one, behind) = (long("first").text(), long("second").text());
-    let [first, mut second] = edge.clients_that_have_sent([one.clone(), one + &behind]);
-    assert_eq!(second.answer().status(), 409, "the first one's request is in work");
-    leave(first);
+    discovery.push(entry("s-2", new_endpoint.address, "a", "up"));
+    discovery.push(entry("s-1", old_endpoint.address, "a", "draining"));
+    // Two clients take the next two descriptors, and the listener keeps the last for the next one: both connections have
+    // arrived before the first one's request is read. Neither client is ever idle, which would free a descriptor for its
+    // attempt.
+    let first_request = without_time_limit("post", "first").text();
+    let second_request = without_time_limit("post", "second").text();
+    let both_requests = format!("{first_request}{second_request}");
+    let [first, mut second] = edge.clients_that_have_sent([first_request, both_requests]);
+    assert_eq!(second.answer().status(), 409, "the first client's request is in progress");
+    disconnect(first);
     // Its descriptor comes free, and the attempt behind its own gets it.
-    let seen = app.next();
-    assert_eq!(seen.id(), "second");
-    seen.answer("200 OK", "", "second");
+    let request = new_endpoint.next();
+    assert_eq!(request.id(), "second");
+    request.answer("200 OK", "", "second");
     assert_eq!(second.answer().body, b"second");
     drop(edge);
-    app.no_request_to_the_end();
+    new_endpoint.no_request_to_the_end();
 }
 
 #[test]
-fn what_lay_in_the_backlog_when_its_client_left_is_not_sent() {
-    // Danger: bytes behind the request hide the end of the connection from whoever waits to read it.
+fn a_request_that_was_in_the_backlog_when_its_client_disconnected_is_not_sent() {
+    // Bytes behind the request hide the end of the connection from a task that waits to read it.
     for behind in ["", "POST /post"] {
-        let app = App::new();
-        let mut config = config(&[entry("s-1", app.address, "a", "up")]);
-        config["settings"]["bounds"]["connect_timeout"] = json!(60_000_000);
+        let endpoint = App::new();
+        let mut config = config(&[entry("s-1", endpoint.address, "a", "up")]);
+        config["settings"]["bounds"]["connect_timeout"] = json!(UNLIMITED_CONNECT_MICROS);
         config["limits"]["sockets"] = json!(40);
         let edge = Edge::new(&config);
-        let long = |class, id: &str| Ask { deadline_ms: 600_000, ..ask(class, id) };
-        let texts = from_fn(|n| long("post", &format!("p-{n}")).text());
-        let mut busy: [Client; 9] = edge.clients_that_have_sent(texts);
-        let held: Vec<Seen> = (0..7).map(|_| app.next()).collect();
-        // No descriptor is left for these. The first has gone before the node takes it in.
-        let (mut gone, mut stays) = (edge.client(), edge.client());
-        // With no body it is whole as soon as its head is read.
-        gone.raw(&format!("{}{behind}", long("lookup", "gone").text()));
-        drop(gone);
-        stays.ask(&long("post", "stays"));
-        let mut came: Vec<String> = held.iter().map(|seen| seen.id().to_string()).collect();
-        held.into_iter().for_each(|seen| seen.answer("200 OK", "", "ok"));
-        // Two of the nine wait for a connection, and nothing orders them before the one that stays.
+        let texts = from_fn(|number| without_time_limit("post", &format!("p-{number}")).text());
+        let mut busy_clients: [Client; 9] = edge.clients_that_have_sent(texts);
+        let in_flight: Vec<Seen> = (0..7).map(|_| endpoint.next()).collect();
+        // No descriptor is left for these two. The first disconnects before the node accepts it.
+        let mut disconnected = edge.client();
+        let mut connected = edge.client();
+        // Without a body the request is complete as soon as its head is read.
+        let disconnected_request = without_time_limit("lookup", "disconnected").text();
+        disconnected.raw(&format!("{disconnected_request}{behind}"));
+        drop(disconnected);
+        connected.ask(&without_time_limit("post", "connected"));
+        let mut arrived_ids: Vec<String> = in_flight.iter().map(|request| request.id().to_string()).collect();
+        for request in in_flight {
+            request.answer("200 OK", "", "ok");
+        }
+        // Two of the nine wait for a connection, and may come before or after the connected client.
         for _ in 0..3 {
-            let seen = app.next();
-            assert_ne!(seen.id(), "gone");
-            came.push(seen.id().to_string());
-            seen.answer("200 OK", "", "ok");
+            let request = endpoint.next();
+            assert_ne!(request.id(), "disconnected");
+            arrived_ids.push(request.id().to_string());
+            request.answer("200 OK", "", "ok");
         }
-        assert_eq!(stays.answer().status(), 200);
-        assert!(busy.iter_mut().all(|client| client.answer().status() == 200));
-        // Each once, and that is all.
-        came.sort();
-        let expected: Vec<String> = (0..9).map(|n| format!("p-{n}")).chain(["stays".into()]).collect();
-        assert_eq!(came, expected);
+        assert_eq!(connected.answer().status(), 200);
+        assert!(busy_clients.iter_mut().all(|client| client.answer().status() == 200));
+        // Each request once, and no other.
+        arrived_ids.sort();
+        let mut expected_ids: Vec<String> = (0..9).map(|number| format!("p-{number}")).collect();
+        expected_ids.insert(0, "connected".to_string());
+        assert_eq!(arrived_ids, expected_ids);
         drop(edge);
-        app.no_request_to_the_end();
+        endpoint.no_request_to_the_end();
     }
 }
 
 #[test]
-fn what_is_parked_or_half_sent_is_not_sent_on_once_its_client_has_left() {
-    let (app, lists) = (App::new(), Lists::new());
+fn a_queued_or_incomplete_request_is_not_sent_once_its_client_has_disconnected() {
+    let endpoint = App::new();
+    let discovery = Lists::new();
     let mut config = config(&[]);
-    config["discovery"] = json!(lists.address.to_string());
+    config["discovery"] = json!(discovery.address.to_string());
     let edge = Edge::new(&config);
-    lists.watched();
+    discovery.watched();
     // A body that lacks a byte.
-    let mut slow = edge.client();
+    let mut incomplete = edge.client();
     let text = ask("post", "slow").text();
-    slow.raw(&text[..text.len() - 1]);
-    slow.half_close();
-    // Only now: the node has closed its side.
-    slow.rest();
-    // No app server is known, so it is parked.
-    let request = Ask { deadline_ms: 600_000, ..ask("post", "p-1") };
-    leave(in_work(&edge, &request));
-    let mut second = anew(&edge, &request);
-    lists.push(entry("s-1", app.address, "a", "up"));
-    app.next().answer("200 OK", "", "second");
+    incomplete.raw(&text[..text.len() - 1]);
+    incomplete.half_close();
+    // Returns once the node has closed its side.
+    incomplete.rest();
+    // The node knows no endpoint, so the request is queued.
+    let request = without_time_limit("post", "p-1");
+    disconnect(client_in_progress(&edge, &request));
+    let mut second = ask_again(&edge, &request);
+    discovery.push(entry("s-1", endpoint.address, "a", "up"));
+    endpoint.next().answer("200 OK", "", "second");
     assert_eq!(second.answer().body, b"second");
     drop(edge);
-    app.no_request_to_the_end();
+    endpoint.no_request_to_the_end();
 }
 
-/// An app server whose machine takes no further connection until it accepts.
-struct FullApp {
+/// An endpoint with a full backlog: no further connection to it comes up until it accepts.
+struct FullEndpoint {
     address: SocketAddr,
-    listener: std::net::TcpListener,
-    filling: Vec<std::net::TcpStream>,
+    listener: TcpListener,
+    filling: Vec<TcpStream>,
 }
 
-impl FullApp {
-    fn new() -> FullApp {
-        let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
+impl FullEndpoint {
+    fn new() -> FullEndpoint {
+        let socket = TcpSocket::new_v4().expect("a socket");
         socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
         let runtime = tokio::runtime::Builder::new_current_thread().enable_io().build().expect("a runtime");
-        let listener =
-            runtime.block_on(async { socket.listen(0).and_then(|l| l.into_std()) }).expect("a listener");
+        let listener = runtime
+            .block_on(async { socket.listen(0).and_then(|listener| listener.into_std()) })
+            .expect("a listener");
         listener.set_nonblocking(false).expect("a listener");
         let address = listener.local_addr().expect("an address");
         let mut filling = Vec::new();
-        let short = std::time::Duration::from_millis(300);
-        while let Ok(stream) = std::net::TcpStream::connect_timeout(&address, short) {
+        let connect_timeout = Duration::from_millis(300);
+        while let Ok(stream) = TcpStream::connect_timeout(&address, connect_timeout) {
             filling.push(stream);
         }
-        FullApp { address, listener, filling }
+        FullEndpoint { address, listener, filling }
     }
 
-    /// Accepts from here on, what has filled the backlog first.
+    /// Accepts from here on, first the connections that filled the backlog.
     fn accept_all(self) -> App {
         drop(self.filling);
         App::on(self.listener)
@@ -240,20 +269,22 @@
 }
 
 #[test]
-fn a_box_told_as_draining_while_a_connection_to_it_comes_up_gets_nothing() {
-    let (full, second, lists) = (FullApp::new(), App::new(), Lists::new());
-    let mut config = config(&[entry("s-1", full.address, "a", "up")]);
-    config["discovery"] = json!(lists.address.to_string());
-    config["settings"]["bounds"]["connect_timeout"] = json!(60_000_000);
+fn an_endpoint_that_starts_draining_while_a_connection_to_it_comes_up_gets_no_request() {
+    let full_endpoint = FullEndpoint::new();
+    let second_endpoint = App::new();
+    let discovery = Lists::new();
+    let mut config = config(&[entry("s-1", full_endpoint.address, "a", "up")]);
+    config["discovery"] = json!(discovery.address.to_string());
+    config["settings"]["bounds"]["connect_timeout"] = json!(UNLIMITED_CONNECT_MICROS);
     let edge = Edge::new(&config);
     let mut client = edge.client();
-    client.ask(&Ask { deadline_ms: 600_000, ..ask("post", "p-1") });
-    lists.push(entry("s-2", second.address, "a", "up"));
-    lists.push(entry("s-1", full.address, "a", "draining"));
-    let first = full.accept_all();
-    // An unsafe one as well goes elsewhere: of a connection that never came up nothing ran.
-    second.next().answer("200 OK", "", "elsewhere");
+    client.ask(&without_time_limit("post", "p-1"));
+    discovery.push(entry("s-2", second_endpoint.address, "a", "up"));
+    discovery.push(entry("s-1", full_endpoint.address, "a", "draining"));
+    let first_endpoint = full_endpoint.accept_all();
+    // Also a non-idempotent request goes elsewhere: without a connection nothing ran.
+    second_endpoint.next().answer("200 OK", "", "elsewhere");
     assert_eq!(client.answer().body, b"elsewhere");
     drop(edge);
-    first.no_request_to_the_end();
+    first_endpoint.no_request_to_the_end();
 }
