--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! The decisions are one pure state machine, [`decision::DecisionEngine`]: events go in with the time, actions
 //! come out. It opens no socket and reads no clock. [`net`] joins it to sockets, [`protocol`] to the serialized
-//! forms of settings and of the simulator's messages.
+//! forms of settings and of the simulator's messages. [`app`] runs a node as a process by its [`config`].
 //!
 //! ```
 //! use edge_node::decision::{
@@ -35,10 +35,12 @@
 //!     first_account_node: 0, account_node_count: 1, is_retry: false, deadline: 2_000_000,
 //! };
 //! engine.handle(2_000, Event::RequestReceived(request), &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::StartAttempt { endpoint: EndpointId(4), .. })));
+//! assert!(actions.iter().any(|action| matches!(action, Action::StartAttempt { endpoint: EndpointId(4), .. })));
 //! ```
 #![forbid(unsafe_code)]
 
+pub mod app;
+pub mod config;
 pub mod decision;
 pub mod net;
 pub mod protocol;
