--- a/src/net/downstream/listener.rs
+++ b/src/net/downstream/listener.rs
@@ -73,7 +73,7 @@
 
     /// Accepts connections until the listener closes.
     ///
-    /// Waits for `first_list` before the first connection, but no longer than [`FIRST_LIST_TIMEOUT`]: the node counts
+    /// Waits for `first_list` before the first connection, but no longer than `FIRST_LIST_TIMEOUT`: the node counts
     /// as notified of what the agent holds from its start on, and the list in its configuration may be out of date.
     /// With no descriptor left it closes idle connections; meanwhile new ones wait in the backlog.
     pub async fn accept(self: Rc<Self>, listener: TcpListener, first_list: impl Future<Output = ()>) {
