--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of a node: Unix time that never goes backwards.
+//! The clock of a node: Unix time that never goes back.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -8,24 +8,24 @@
 
 /// Unix time in microseconds that never goes back: the machine's clock at the start, then monotonic time.
 pub struct Clock {
-    start: Micros,
-    at: Instant,
+    started_at: Micros,
+    start: Instant,
 }
 
 impl Clock {
     /// A clock that starts at the machine's time.
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: unix.as_micros() as Micros, at: Instant::now() }
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { started_at: since_epoch.as_micros() as Micros, start: Instant::now() }
     }
 
-    /// Now.
+    /// The time now, in microseconds of Unix time.
     pub fn now(&self) -> Micros {
-        self.start + self.at.elapsed().as_micros() as Micros
+        self.started_at + self.start.elapsed().as_micros() as Micros
     }
 
-    /// A time of this clock as the runtime's timers take it.
+    /// A time of this clock as the runtime's timers take it. Times before its start count as its start.
     pub fn instant(&self, time: Micros) -> Instant {
-        self.at + Duration::from_micros(time.saturating_sub(self.start))
+        self.start + Duration::from_micros(time.saturating_sub(self.started_at))
     }
 }
--- a/src/net/descriptor_budget.rs
+++ b/src/net/descriptor_budget.rs
@@ -1,5 +1,4 @@
-//! The descriptors that clients and app servers share. A slot stands for one open connection and frees
-//! itself when dropped.
+//! The file descriptors that connections of clients and to endpoints share.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -9,170 +8,199 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Descriptors kept back for the listener, discovery, the counter, the runtime and the standard streams.
+/// Descriptors reserved for the listener, discovery, the counter, the runtime and the standard streams.
 pub const RESERVED_DESCRIPTORS: usize = 24;
-/// The share of the slots that clients may hold: every request in work needs one on either side.
-const CLIENT_SHARE: f64 = 0.6;
-/// How long a connection that is told to close has for it before the next one is told so.
-const CLOSE_PAUSE: Duration = Duration::from_millis(20);
-
-/// How many connections may be open, and are.
+/// The share of the permits that clients may hold: every open request needs one on either side.
+const DOWNSTREAM_SHARE: f64 = 0.6;
+/// The fewest permits in all, and for clients.
+const MIN_PERMITS: usize = 4;
+const MIN_DOWNSTREAM_PERMITS: usize = 2;
+/// How long a connection that was asked to close has for it before the next one is asked.
+const CLOSE_TIME: Duration = Duration::from_millis(20);
+
+/// How many connections may be open, and how many are.
 pub struct DescriptorBudget {
-    most: usize,
-    for_clients: usize,
-    used: Cell<usize>,
-    clients: Cell<usize>,
-    eased: Notify,
-    tickets: Cell<u64>,
-    /// Clients' connections so new that their first request may still lie unread.
-    fresh: Cell<usize>,
-    /// Clients' connections that no request is open on; those that have never sent one come first.
-    idle: RefCell<BTreeMap<IdleRegistration, Rc<Notify>>>,
+    max_connections: usize,
+    max_downstream: usize,
+    open_connections: Cell<usize>,
+    open_downstream: Cell<usize>,
+    /// Signalled when a permit was returned or a connection can be closed.
+    changed: Notify,
+    next_turn: Cell<u64>,
+    /// Client connections so new that their first request may still be unread.
+    unclassified: Cell<usize>,
+    /// Client connections without an open request, in the order in which they are closed.
+    idle_downstream: RefCell<BTreeMap<IdleRegistration, Rc<Notify>>>,
 }
 
-/// A connection's place among the idle ones: whether it has ever sent a request, and its turn.
-pub type IdleRegistration = (bool, u64);
+/// A client connection's place among the idle ones. Those that have never sent a request come first, then those idle
+/// for longest.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct IdleRegistration {
+    has_sent_request: bool,
+    turn: u64,
+}
 
-/// One open connection's place in the budget.
+/// Which side a connection belongs to.
+#[derive(Clone, Copy, PartialEq)]
+enum Side {
+    Downstream,
+    Upstream,
+}
+
+/// The permit of one open connection, returned when dropped.
 pub struct DescriptorPermit {
     budget: Rc<DescriptorBudget>,
-    client: bool,
+    side: Side,
 }
 
 impl DescriptorBudget {
-    /// A budget for a process that may hold `descriptors`.
+    /// A budget for a process that may hold this many descriptors.
     pub fn new(descriptors: usize) -> Rc<Self> {
-        let most = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(4);
+        let max_connections = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_PERMITS);
+        let downstream_share = (max_connections as f64 * DOWNSTREAM_SHARE) as usize;
         Rc::new(DescriptorBudget {
-            most,
-            for_clients: ((most as f64 * CLIENT_SHARE) as usize).max(2),
-            used: Cell::new(0),
-            clients: Cell::new(0),
-            eased: Notify::new(),
-            tickets: Cell::new(0),
-            fresh: Cell::new(0),
-            idle: RefCell::default(),
+            max_connections,
+            max_downstream: downstream_share.max(MIN_DOWNSTREAM_PERMITS),
+            open_connections: Cell::new(0),
+            open_downstream: Cell::new(0),
+            changed: Notify::new(),
+            next_turn: Cell::new(0),
+            unclassified: Cell::new(0),
+            idle_downstream: RefCell::default(),
         })
     }
 
-    /// A slot for a client's connection, if one is free.
+    /// A permit for a client connection, if one is free.
     pub fn try_acquire_downstream(self: &Rc<Self>) -> Option<DescriptorPermit> {
-        (self.clients.get() < self.for_clients).then(|| self.take(true)).flatten()
+        if self.open_downstream.get() >= self.max_downstream || self.is_exhausted() {
+            return None;
+        }
+        Some(self.issue(Side::Downstream))
     }
 
-    /// A slot for a connection to an app server, if one is free.
+    /// A permit for a connection to an endpoint, if one is free.
     pub fn try_acquire_upstream(self: &Rc<Self>) -> Option<DescriptorPermit> {
-        self.take(false)
+        if self.is_exhausted() {
+            return None;
+        }
+        Some(self.issue(Side::Upstream))
     }
 
-    /// A slot for a client's connection beyond all bounds, out of what is kept back: for what the machine has
-    /// accepted when the listener closes, which nobody else will answer.
+    /// A permit for a client connection beyond the limits, out of the reserved descriptors: for what the kernel has
+    /// accepted when the listener closes, which nobody else will serve.
     pub fn acquire_beyond_limit(self: &Rc<Self>) -> DescriptorPermit {
-        self.give(true)
-    }
-
-    fn take(self: &Rc<Self>, client: bool) -> Option<DescriptorPermit> {
-        (self.used.get() < self.most).then(|| self.give(client))
+        self.issue(Side::Downstream)
     }
 
-    fn give(self: &Rc<Self>, client: bool) -> DescriptorPermit {
-        self.used.set(self.used.get() + 1);
-        self.clients.set(self.clients.get() + usize::from(client));
-        DescriptorPermit { budget: self.clone(), client }
+    fn issue(self: &Rc<Self>, side: Side) -> DescriptorPermit {
+        self.open_connections.set(self.open_connections.get() + 1);
+        if side == Side::Downstream {
+            self.open_downstream.set(self.open_downstream.get() + 1);
+        }
+        DescriptorPermit { budget: self.clone(), side }
     }
 
-    /// Whether the whole is used up, and not just the clients' part.
+    /// Whether all permits are in use, and not just the clients' share.
     pub fn is_exhausted(&self) -> bool {
-        self.used.get() >= self.most
+        self.open_connections.get() >= self.max_connections
     }
 
-    /// Waits for a slot, closing one connection after the other to free it. Danger: waiting for freed slots
-    /// alone, new clients starve while those with slots stand idle; and what is told to close takes a moment,
-    /// in which nothing else must be closed in its stead.
+    /// Waits for a permit, closing one connection after the other to free it.
+    ///
+    /// Waiting alone would starve new clients while those with permits are idle. What is asked to close takes a
+    /// little time, in which no other connection must be closed in its place.
     pub async fn acquire_or_evict(
         &self,
-        take: impl Fn() -> Option<DescriptorPermit>,
+        try_acquire: impl Fn() -> Option<DescriptorPermit>,
         close_one: impl Fn() -> bool,
     ) -> DescriptorPermit {
         loop {
-            let eased = self.eased.notified();
-            if let Some(slot) = take() {
-                return slot;
+            let changed = self.changed.notified();
+            if let Some(permit) = try_acquire() {
+                return permit;
             }
             if !close_one() {
-                eased.await;
+                changed.await;
                 continue;
             }
-            let freed = async {
-                loop {
-                    let eased = self.eased.notified();
-                    match take() {
-                        Some(slot) => return slot,
-                        None => eased.await,
-                    }
-                }
-            };
-            if let Ok(slot) = timeout(CLOSE_PAUSE, freed).await {
-                return slot;
+            if let Ok(permit) = timeout(CLOSE_TIME, self.wait_for_permit(&try_acquire)).await {
+                return permit;
             }
         }
     }
 
-    /// A connection to an app server has fallen idle.
+    async fn wait_for_permit(&self, try_acquire: impl Fn() -> Option<DescriptorPermit>) -> DescriptorPermit {
+        loop {
+            let changed = self.changed.notified();
+            match try_acquire() {
+                Some(permit) => return permit,
+                None => changed.await,
+            }
+        }
+    }
+
+    /// A connection can be closed now: wakes those that wait for a permit.
     pub fn notify_waiters(&self) {
-        self.eased.notify_waiters();
+        self.changed.notify_waiters();
     }
 
-    /// A client's connection stands idle; it may be told to close. The ticket takes that back.
-    pub fn register_idle(&self, close: Rc<Notify>, used: bool) -> IdleRegistration {
-        let ticket = (used, self.tickets.get());
-        self.tickets.set(ticket.1 + 1);
-        self.idle.borrow_mut().insert(ticket, close);
+    /// A client connection is idle; it may be asked to close through `close`.
+    pub fn register_idle(&self, close: Rc<Notify>, has_sent_request: bool) -> IdleRegistration {
+        let turn = self.next_turn.get();
+        self.next_turn.set(turn + 1);
+        let registration = IdleRegistration { has_sent_request, turn };
+        self.idle_downstream.borrow_mut().insert(registration, close);
         self.notify_waiters();
-        ticket
+        registration
     }
 
-    /// The connection with this ticket is in use, or gone.
-    pub fn unregister_idle(&self, ticket: IdleRegistration) {
-        self.idle.borrow_mut().remove(&ticket);
+    /// The connection with this registration is in use, or closed.
+    pub fn unregister_idle(&self, registration: IdleRegistration) {
+        self.idle_downstream.borrow_mut().remove(&registration);
     }
 
-    /// A client has connected.
+    /// A client has connected; whether it sends a request is not known yet.
     pub fn connection_opened(&self) {
-        self.fresh.set(self.fresh.get() + 1);
+        self.unclassified.set(self.unclassified.get() + 1);
     }
 
-    /// Whether a new connection has a request or stays silent is known by now.
+    /// Whether a new client connection has a request or stays silent is known by now.
     pub fn connection_classified(&self) {
-        self.fresh.set(self.fresh.get() - 1);
+        self.unclassified.set(self.unclassified.get() - 1);
         self.notify_waiters();
     }
 
-    /// Tells a client's connection to close: the first that has stayed silent from its start, else the one
-    /// that has been idle for longest. Danger: a flood of silent connections would push out those in use; while
-    /// half of all are too new to tell, these are waited for. With fewer, waiting would keep out the others.
+    /// Asks a client connection to close: the first that has been silent from its start, or else the one that has
+    /// been idle for longest. False if there is none.
+    ///
+    /// While at least half of the clients' share is too new to tell, connections that have sent requests are not
+    /// closed: a flood of silent connections would push out those in use. With fewer, waiting for them would keep out
+    /// new clients.
     pub fn close_idle_downstream(&self) -> bool {
-        let mut idle = self.idle.borrow_mut();
-        let flood = self.fresh.get() * 2 >= self.for_clients;
-        let first = idle.first_entry().filter(|first| !first.key().0 || !flood);
-        let first = first.map(|first| first.remove_entry());
-        first.is_some_and(|(_, close)| {
-            close.notify_one();
-            true
-        })
+        let is_flooded = self.unclassified.get() * 2 >= self.max_downstream;
+        let mut idle = self.idle_downstream.borrow_mut();
+        let Some(first) = idle.first_entry() else { return false };
+        if first.key().has_sent_request && is_flooded {
+            return false;
+        }
+        first.remove().notify_one();
+        true
     }
 
     /// How many clients are connected.
     pub fn downstream_connections(&self) -> usize {
-        self.clients.get()
+        self.open_downstream.get()
     }
 }
 
 impl Drop for DescriptorPermit {
     fn drop(&mut self) {
-        let b = &self.budget;
-        b.used.set(b.used.get() - 1);
-        b.clients.set(b.clients.get() - usize::from(self.client));
-        b.notify_waiters();
+        let budget = &self.budget;
+        budget.open_connections.set(budget.open_connections.get() - 1);
+        if self.side == Side::Downstream {
+            budget.open_downstream.set(budget.open_downstream.get() - 1);
+        }
+        budget.notify_waiters();
     }
 }
--- a/src/net/shutdown_schedule.rs
+++ b/src/net/shutdown_schedule.rs
@@ -1,48 +1,46 @@
-//! The timetable of a planned stop, from SIGTERM on.
+//! The schedule of a graceful shutdown, from SIGTERM on.
 
 use std::time::Duration;
 
-/// The machine is killed so long after SIGTERM at the soonest: the longest deadline, counted as three seconds
-/// where it is longer, and this much more. What is unanswered then is lost.
-const DEADLINE_MOST: Duration = Duration::from_secs(3);
-const KILLED_AFTER: Duration = Duration::from_millis(700);
-/// New connections go on coming for 0.4 s: idle ones are closed after this, and what crosses that can still
-/// connect anew until the listener closes, unless the kill comes too soon after.
-const IDLE: Duration = Duration::from_millis(450);
-const DEAF: Duration = Duration::from_millis(900);
-const DEAF_BEFORE_KILL: Duration = Duration::from_millis(200);
-/// What is open this long before the kill has failed, and this long before it the node ends: the rest is for
-/// answers still being written. With the shortest deadlines both come right behind the listener's end.
-const FAIL_BEFORE_KILL: Duration = Duration::from_millis(400);
-const END_BEFORE_KILL: Duration = Duration::from_millis(200);
-/// How long answers are still written at the least.
+/// The process is killed this long after SIGTERM at the soonest: the longest deadline, counted as three seconds where
+/// it is longer, and the kill margin. What has no response then is lost.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+const KILL_MARGIN: Duration = Duration::from_millis(700);
+/// New connections go on arriving for 0.4 s, so idle ones are closed after that. Clients whose request crosses the
+/// close can still connect anew until the listener closes.
+const CLOSE_IDLE_AT: Duration = Duration::from_millis(450);
+/// When the listener closes, unless the kill follows too soon.
+const CLOSE_LISTENER_AT: Duration = Duration::from_millis(900);
+const CLOSE_LISTENER_BEFORE_KILL: Duration = Duration::from_millis(200);
+/// Open requests fail this long before the kill, and the process exits this long before it: the time between is for
+/// responses still being written. With the shortest deadlines both follow the close of the listener directly.
+const FAIL_REQUESTS_BEFORE_KILL: Duration = Duration::from_millis(400);
+const EXIT_BEFORE_KILL: Duration = Duration::from_millis(200);
+/// The least time in which responses are still written after open requests have failed.
 pub const MIN_FLUSH_TIME: Duration = Duration::from_millis(100);
 
-/// When what is done, as spans from SIGTERM.
+/// When each step of a shutdown is due, as spans from SIGTERM.
 pub struct ShutdownSchedule {
     /// Idle connections are closed.
     pub close_idle_at: Duration,
     /// The listener is closed.
     pub close_listener_at: Duration,
-    /// What is unanswered has failed.
+    /// Requests without a final response fail.
     pub fail_requests_at: Duration,
-    /// The node ends, whatever is still being written.
+    /// The process exits, whatever is still being written.
     pub exit_at: Duration,
 }
 
 impl ShutdownSchedule {
-    /// For settings whose longest deadline is this one. Danger: reckoned from the deadline alone, the last moment
-    /// of a stop lay before the listener's end where all deadlines are short, and the node ended with answers
-    /// unwritten.
+    /// The schedule for settings with this longest deadline.
+    ///
+    /// With short deadlines the times before the kill would precede the close of the listener, and the process would
+    /// exit with responses unwritten; so each step follows the one before.
     pub fn new(longest_deadline: Duration) -> Self {
-        let kill = longest_deadline.min(DEADLINE_MOST) + KILLED_AFTER;
-        let deaf = DEAF.min(kill - DEAF_BEFORE_KILL);
-        let fail = (kill - FAIL_BEFORE_KILL).max(deaf);
-        ShutdownSchedule {
-            close_idle_at: IDLE,
-            close_listener_at: deaf,
-            fail_requests_at: fail,
-            exit_at: (kill - END_BEFORE_KILL).max(fail + MIN_FLUSH_TIME),
-        }
+        let killed_at = longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_MARGIN;
+        let close_listener_at = CLOSE_LISTENER_AT.min(killed_at - CLOSE_LISTENER_BEFORE_KILL);
+        let fail_requests_at = (killed_at - FAIL_REQUESTS_BEFORE_KILL).max(close_listener_at);
+        let exit_at = (killed_at - EXIT_BEFORE_KILL).max(fail_requests_at + MIN_FLUSH_TIME);
+        ShutdownSchedule { close_idle_at: CLOSE_IDLE_AT, close_listener_at, fail_requests_at, exit_at }
     }
 }
