--- /dev/null
+++ b/tests/endpoint_lists/publication.rs
@@ -0,0 +1,235 @@
+//! Long lists applied in a node within the test process: what happens while one is prepared on its own thread, and
+//! between two parts of its publication.
+
+use std::sync::Arc;
+
+use edge_node::decision::{EndpointUpdateKind, Outcome};
+use edge_node::net::discovery::apply::{ApplyOutcome, ListApplier, ReceivedList};
+use edge_node::net::discovery::delta::ENTRIES_PER_PART;
+use edge_node::net::discovery::directory::EndpointDirectory;
+use serde_json::{json, Value};
+use tokio::task::{spawn_local, yield_now};
+
+use crate::fakes::{entry, App};
+use crate::lists::{all_up, labels, longest_list, name, numbered, read, response, snapshot, LONGEST};
+use crate::node::{
+    is_fetch, is_watch_from, next_call, on_one_thread, send, some_turns, until, until_prepared,
+    until_preparing, watch_from, Node,
+};
+
+/// So many endpoints make a long list, and a delta of some tens of parts.
+const LONG: usize = 12_000;
+/// A long list of endpoints from this number on, all at this server, and of others.
+fn long_list(version: u64, first: usize, server: &App, others: &[Value]) -> String {
+    let mut entries = Vec::new();
+    for number in first..first + LONG {
+        entries.push(entry(&name(number), server.address, "a", "up"));
+    }
+    entries.extend_from_slice(others);
+    response(&snapshot(version, &entries).to_string())
+}
+
+#[test]
+fn a_list_prepared_while_discovery_moves_is_dropped() {
+    let agent = App::new();
+    let new_agent = App::new();
+    let list_of_old_agent = response(&longest_list(9, &agent));
+    on_one_thread(async {
+        let node = Node::started(&agent);
+        until(|| watch_from(&agent, 0)).await;
+        node.discovery.fetch(node.events.clone());
+        let fetch = until(|| agent.poll_once().filter(is_fetch)).await;
+        let known = Arc::downgrade(&node.endpoints());
+        let sent = send(fetch, list_of_old_agent.clone());
+        until_preparing(&known).await;
+        node.discovery.move_to(&node.events, new_agent.address);
+        until_prepared(&known).await;
+        assert!(node.endpoints().is_empty(), "a list of the old agent was applied after the move");
+        let list = response(&snapshot(3, &all_up([1])).to_string());
+        // Calls that have timed out meanwhile get a response, too.
+        until(|| {
+            let call = new_agent.poll_once()?;
+            let is_applied = is_watch_from(&call, 3);
+            call.spoil(list.as_bytes());
+            is_applied.then_some(())
+        })
+        .await;
+        sent.join().expect("sent");
+        assert_eq!(node.endpoints().len(), 1);
+        assert!(node.knows(1));
+    });
+}
+
+#[test]
+fn a_long_delta_does_not_undo_what_was_applied_while_it_was_prepared() {
+    let agent = App::new();
+    let delta = json!({"index": 2, "snapshot": false, "endpoints": all_up(0..LONGEST)});
+    let long_delta = response(&delta.to_string());
+    on_one_thread(async {
+        let node = Node::started(&agent);
+        let watch = until(|| watch_from(&agent, 0)).await;
+        let known = Arc::downgrade(&node.endpoints());
+        let sent = send(watch, long_delta.clone());
+        until_preparing(&known).await;
+        let late_delta = read(&[numbered(LONGEST, "up")]);
+        node.upstreams().apply_delta(late_delta.entries(), &labels());
+        until(|| watch_from(&agent, 2)).await;
+        sent.join().expect("sent");
+        assert_eq!(node.endpoints().len(), LONGEST + 1);
+        assert!(node.knows(LONGEST));
+    });
+}
+
+#[test]
+fn between_two_parts_old_and_new_endpoints_are_reached_and_draining_ones_are_not() {
+    let agent = App::new();
+    let first = App::new();
+    let second = App::new();
+    let draining = 2 * LONG;
+    let moving = 2 * LONG + 1;
+    let listed = |number, server: &App, status| entry(&name(number), server.address, "a", status);
+    let before = [listed(draining, &first, "up"), listed(moving, &first, "up")];
+    let after = [listed(draining, &first, "draining"), listed(moving, &second, "up")];
+    let first_list = long_list(2, 0, &first, &before);
+    let second_list = long_list(3, LONG, &second, &after);
+    on_one_thread(async {
+        let node = Node::started(&agent);
+        node.publish_first_part(&agent, 0, &first_list).await;
+        node.publish_the_rest().await;
+        // One gets a connection that is kept.
+        assert_eq!(node.attempts(&[7], &[(&first, 1)]).await, [Outcome::Ok]);
+        node.publish_first_part(&agent, 2, &second_list).await;
+        let numbers = [7, 8, LONG + 7, moving, draining];
+        let outcomes = node.attempts(&numbers, &[(&first, 2), (&second, 2)]).await;
+        assert_eq!(outcomes[..4], [Outcome::Ok; 4], "removed but not announced yet, new, moved");
+        assert_eq!(outcomes[4], Outcome::ConnectFailed);
+        assert!(node.is_publishing(), "all of this between two parts");
+        node.publish_the_rest().await;
+        let outcomes = node.attempts(&[7, 8, LONG + 7], &[(&second, 1)]).await;
+        assert_eq!(outcomes, [Outcome::ConnectFailed, Outcome::ConnectFailed, Outcome::Ok]);
+        first.no_request();
+    });
+}
+
+#[test]
+fn other_tasks_get_a_turn_between_any_two_parts_and_an_unchanged_list_has_no_parts() {
+    let agent = App::new();
+    let server = App::new();
+    let first_list = long_list(2, 0, &server, &[]);
+    let second_list = long_list(3, LONG, &server, &[]);
+    on_one_thread(async {
+        let node = Node::started(&agent);
+        // The second list replaces all endpoints of the first.
+        for (version, list, delta_entries) in [(0, &first_list, LONG), (2, &second_list, 2 * LONG)] {
+            node.publish_first_part(&agent, version, list).await;
+            let turns = node.publish_the_rest().await;
+            assert!(turns + 1 >= delta_entries.div_ceil(ENTRIES_PER_PART));
+        }
+        let unchanged = long_list(4, LONG, &server, &[]);
+        let next_call = until(|| {
+            assert!(!node.is_publishing(), "the same list again");
+            let call = agent.poll_once()?;
+            if is_watch_from(&call, 3) {
+                send(call, unchanged.clone());
+                return None;
+            }
+            Some(call)
+        });
+        assert!(is_watch_from(&next_call.await, 4));
+    });
+}
+
+#[test]
+fn a_move_between_two_parts_leaves_no_half_list_and_no_version_of_the_old_agent() {
+    let agent = App::new();
+    let new_agent = App::new();
+    let server = App::new();
+    let list = long_list(9, 0, &server, &[]);
+    on_one_thread(async {
+        let node = Node::started(&agent);
+        node.publish_first_part(&agent, 0, &list).await;
+        node.discovery.move_to(&node.events, new_agent.address);
+        let call = next_call(&new_agent).await;
+        assert!(node.is_publishing(), "moved between two parts");
+        node.publish_the_rest().await;
+        assert_eq!(node.endpoints().len(), LONG);
+        call.spoil(b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
+        let call = until(|| new_agent.poll_once()).await;
+        assert!(is_fetch(&call), "asked from the old agent's version");
+        call.answer("200 OK", "", &snapshot(3, &all_up([1])).to_string());
+        until(|| watch_from(&new_agent, 3)).await;
+        assert_eq!(node.endpoints().len(), 1);
+    });
+}
+
+/// Publishes a part of a list of version 9, and fetches another list of this version between two parts.
+fn fetch_between_two_parts(version: u64, fetched: impl FnOnce(&App) -> String) {
+    let agent = App::new();
+    let server = App::new();
+    let list = long_list(9, 0, &server, &[]);
+    let fetched = fetched(&server);
+    on_one_thread(async {
+        let node = Node::started(&agent);
+        until(|| agent.poll_once().filter(is_fetch)).await;
+        node.publish_first_part(&agent, 0, &list).await;
+        node.discovery.fetch(node.events.clone());
+        send(next_call(&agent).await, fetched);
+        some_turns().await;
+        assert!(node.is_publishing(), "fetched between two parts");
+        assert!(node.knows(0) && !node.knows(LONG), "applied between two parts");
+        node.publish_the_rest().await;
+        if version > 9 {
+            until(|| node.knows(LONG).then_some(())).await;
+            return;
+        }
+        let known = Arc::downgrade(&node.endpoints());
+        some_turns().await;
+        until_prepared(&known).await;
+        some_turns().await;
+        assert!(node.knows(0) && !node.knows(LONG), "an older list was applied");
+    });
+}
+
+#[test]
+fn a_short_list_received_between_two_parts_is_applied_after_the_last_unless_it_is_older() {
+    for version in [8, 10] {
+        fetch_between_two_parts(version, |_| {
+            response(&snapshot(version, &[numbered(LONG, "up")]).to_string())
+        });
+    }
+}
+
+#[test]
+fn a_long_list_received_between_two_parts_is_applied_after_the_last_unless_it_is_older() {
+    for version in [8, 10] {
+        fetch_between_two_parts(version, |server| long_list(version, LONG, server, &[]));
+    }
+}
+
+#[test]
+fn the_second_of_two_long_lists_is_applied_after_all_parts_of_the_first() {
+    on_one_thread(async {
+        let node = Node::new(&App::new());
+        let applier = ListApplier::new(node.event_loop.upstreams.clone(), labels());
+        let apply = |first: usize| {
+            let received = ReceivedList { list: read(&all_up(first..first + LONG)), is_long: true };
+            let applier = applier.clone();
+            let events = node.events.clone();
+            spawn_local(async move { applier.apply(&events, received, EndpointUpdateKind::Snapshot).await })
+        };
+        let first = apply(0);
+        until(|| node.is_publishing().then_some(())).await;
+        let second = apply(LONG);
+        yield_now().await;
+        // The task that has a list prepared and the thread that does so hold on to what it is prepared beside.
+        let known = Arc::downgrade(&node.endpoints());
+        while known.strong_count() > 2 {
+            std::thread::yield_now();
+        }
+        some_turns().await;
+        assert!(node.is_publishing() && node.knows(0) && !node.knows(LONG));
+        assert_eq!(first.await.expect("no panic").expect("prepared"), ApplyOutcome::Applied);
+        assert_eq!(second.await.expect("no panic").expect("prepared"), ApplyOutcome::Applied);
+        assert!(!node.is_publishing() && !node.knows(0) && node.knows(LONG));
+    });
+}
