--- a/src/net/counter/connection.rs
+++ b/src/net/counter/connection.rs
@@ -112,7 +112,7 @@
 struct PendingIncrement {
     key: CounterKey,
     made_at: Instant,
-    /// Where its last byte stands among all bytes for this connection.
+    /// The position of its end among all bytes for this connection.
     ends_at_byte: u64,
     /// It was reported as timed out; its reply is still to come and is reported as late.
     timed_out: bool,
@@ -130,8 +130,8 @@
     /// Nothing has arrived for too long.
     #[error("the counter is silent")]
     Silent,
-    /// A reply came that no call waits for.
-    #[error("a reply came without a call")]
+    /// A reply that no call waits for.
+    #[error("a reply without a call")]
     UnexpectedReply,
     /// A reply is malformed.
     #[error("malformed reply")]
@@ -263,7 +263,7 @@
         }
     }
 
-    /// Reports the replies that have arrived whole.
+    /// Reports the replies that are complete.
     fn bytes_received(
         &mut self,
         received: std::io::Result<usize>,
--- a/src/net/counter/resp.rs
+++ b/src/net/counter/resp.rs
@@ -65,10 +65,10 @@
     InvalidTotal,
 }
 
-/// Takes one whole reply off the buffer; none if it holds only a part of one.
+/// Takes one complete reply off the buffer; none if it holds only a part of one.
 ///
 /// # Errors
-/// If the buffer begins with what is no reply, whole or not.
+/// If the buffer begins with what cannot become a reply.
 pub fn decode(buffer: &mut BytesMut) -> Result<Option<Reply>, ReplyError> {
     let line_end = buffer.windows(LINE_END.len()).position(|window| window == LINE_END);
     let line = &buffer[..line_end.unwrap_or(buffer.len())];
--- a/src/net/descriptor_budget.rs
+++ b/src/net/descriptor_budget.rs
@@ -174,7 +174,7 @@
     /// Asks a client connection to close: the first that has been silent from its start, or else the one that has
     /// been idle for longest. False if there is none.
     ///
-    /// While at least half of the clients' share is too new to tell, connections that have sent requests are not
+    /// While at least half of the clients' share is not classified yet, connections that have sent requests are not
     /// closed: a flood of silent connections would push out those in use. With fewer, waiting for them would keep out
     /// new clients.
     pub fn close_idle_downstream(&self) -> bool {
--- a/src/net/discovery/endpoints.rs
+++ b/src/net/discovery/endpoints.rs
@@ -71,7 +71,7 @@
     }
 }
 
-/// What the entries of a delta came to.
+/// The result of applying the entries of a delta.
 #[derive(Default)]
 pub struct AppliedEntries {
     /// What the decisions are notified of.
--- a/src/net/discovery/parser.rs
+++ b/src/net/discovery/parser.rs
@@ -22,7 +22,7 @@
     /// The version, as the agent counts.
     #[serde(rename = "index")]
     pub version: u64,
-    /// Whether it is the whole list, and not a delta.
+    /// Whether it is the full list, and not a delta.
     #[serde(rename = "snapshot", default)]
     pub is_snapshot: bool,
     endpoints: Option<ParsedEntries>,
@@ -42,7 +42,7 @@
         self.endpoints.as_ref().is_none_or(ParsedEntries::is_empty)
     }
 
-    /// Whether it can be applied. A whole list without entries, or with none that can be read, would remove every
+    /// Whether it can be applied. A full list without entries, or with none that can be read, would remove every
     /// endpoint. Of a delta, entries that cannot be read are passed over.
     pub fn is_usable(&self) -> bool {
         let Some(entries) = &self.endpoints else { return false };
--- a/src/net/discovery/snapshot.rs
+++ b/src/net/discovery/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a whole list, or a long delta, makes of the endpoints known before, worked out beside them.
+//! What a full list, or a long delta, makes of the endpoints known before, worked out beside them.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use crate::net::discovery::labels::PlacementLabels;
 use crate::net::discovery::parser::{ListEntry, ListFaults};
 
-/// How a whole list differs from the endpoints known before.
+/// How a full list differs from the endpoints known before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ListDifference {
     /// Endpoints of which nothing has changed.
@@ -24,17 +24,17 @@
 pub struct AppliedList {
     /// The endpoints known from now on.
     pub endpoints: Endpoints,
-    /// The list's entries, one for each name; those of a whole list in the order of ids.
+    /// The list's entries, one for each name; those of a full list in the order of ids.
     pub entries: Vec<EndpointEntry>,
     /// Endpoints whose connections may lead elsewhere now, though it does not show in `endpoints`.
     pub stale: Vec<EndpointId>,
-    /// How a whole list differs from the endpoints known before; zero for a delta.
+    /// How a full list differs from the endpoints known before; zero for a delta.
     pub difference: ListDifference,
     /// What was wrong with entries.
     pub faults: ListFaults,
 }
 
-/// The last entry of a whole list for one name.
+/// The last entry of a full list for one name.
 struct NamedEntry<'a> {
     /// The id that the name gives.
     own_id: EndpointId,
@@ -51,7 +51,7 @@
         AppliedList { endpoints, entries, stale, difference: ListDifference::default(), faults }
     }
 
-    /// The endpoints of a whole list. Of two entries for one name the later counts, and endpoints known before keep
+    /// The endpoints of a full list. Of two entries for one name the later counts, and endpoints known before keep
     /// their ids.
     pub fn with_snapshot(&self, entries: &[ListEntry], labels: &PlacementLabels) -> AppliedList {
         let mut snapshot = SnapshotBuilder::new(self, labels, entries.len());
@@ -93,7 +93,7 @@
     }
 }
 
-/// Builds the endpoints of a whole list.
+/// Builds the endpoints of a full list.
 struct SnapshotBuilder<'a> {
     previous: &'a Endpoints,
     labels: &'a PlacementLabels,
--- a/src/net/discovery/timeout.rs
+++ b/src/net/discovery/timeout.rs
@@ -19,7 +19,7 @@
 /// How long a watch may be without a response in all. A change counts as notified 6 s after discovery had it, arrived
 /// or not, so a watch on a dead connection ends sooner.
 pub const WATCH_TIMEOUT: Duration = Duration::from_millis(WATCH_WAIT_MS).saturating_add(WATCH_GRACE);
-/// How long a fetch of the whole list may be without a response.
+/// How long a fetch of the full list may be without a response.
 pub const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long the first call to a new agent may be: what it knows counts as notified 4 s after the move.
 pub const FIRST_CALL_TIMEOUT: Duration = Duration::from_millis(500);
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! The watch of the endpoint list, which never ends, and single fetches of the whole list.
+//! The watch of the endpoint list, which never ends, and single fetches of the full list.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -70,7 +70,7 @@
     }
 
     /// Goes on with the agent at this address. Its versions have nothing to do with the old one's, so it is asked for
-    /// the whole list first, and what the old one still sends is dropped with its watch.
+    /// the full list first, and what the old one still sends is dropped with its watch.
     pub fn move_to(self: &Rc<Self>, events: &Rc<dyn EventSink>, address: SocketAddr) {
         if self.client.address.replace(address) != address {
             self.applier.discovery_moved();
@@ -83,7 +83,7 @@
         self.applier.first_snapshot_received().await;
     }
 
-    /// Fetches the whole list once.
+    /// Fetches the full list once.
     pub fn fetch(self: &Rc<Self>, events: Rc<dyn EventSink>) {
         let discovery = self.clone();
         let moves = self.applier.moves();
@@ -98,8 +98,8 @@
         });
     }
 
-    /// Fetches the whole list and applies it, unless discovery has moved since `moves` or the watch has brought
-    /// something newer meanwhile. The new agent is asked for its whole list anyway.
+    /// Fetches the full list and applies it, unless discovery has moved since `moves` or the watch has brought
+    /// something newer meanwhile. The new agent is asked for its full list anyway.
     async fn fetch_once(&self, events: &Rc<dyn EventSink>, moves: u64) -> Result<(), DiscoveryError> {
         let received = self.client.call(&mut None, LIST_PATH, FETCH_TIMEOUT).await?;
         // Moves are counted: after two of them the address may be the same again.
@@ -158,7 +158,7 @@
         }
     }
 
-    /// One long poll for changes since the version applied last; without one, a call for the whole list.
+    /// One long poll for changes since the version applied last; without one, a call for the full list.
     async fn watch_once(
         &self,
         connection: &mut Option<ClientConnection>,
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -124,7 +124,8 @@
         self.clock.instant(deadline.saturating_sub(RESPONSE_MARGIN))
     }
 
-    /// Nobody waits for this request any more: its client has disconnected or was just told that it failed.
+    /// Nobody waits for this request any more: its client has disconnected or its deadline has
+    /// passed.
     pub fn client_disconnected(&self, id: &RequestId) {
         let responder = self.open_requests.borrow_mut().take_responder(id);
         if responder.is_some() {
--- a/src/net/http_client.rs
+++ b/src/net/http_client.rs
@@ -186,7 +186,7 @@
 }
 
 /// Whether the head of a response says without doubt where the response ends. Without a length a broken connection
-/// looks like a whole body, and of two different lengths neither can be believed.
+/// cannot be distinguished from the end of a body, and of two different lengths neither can be trusted.
 pub fn has_unambiguous_length(response: &Response<Incoming>) -> bool {
     let headers = response.headers();
     let status = response.status();
@@ -218,7 +218,7 @@
     ConnectionBroken,
 }
 
-/// Reads a whole body of at most `max_bytes`.
+/// Reads a complete body of at most `max_bytes`.
 ///
 /// # Errors
 /// If it is longer, malformed or cut off.
--- a/src/net/open_requests.rs
+++ b/src/net/open_requests.rs
@@ -28,7 +28,7 @@
     Failed,
 }
 
-/// A request came under the id of one that is still open.
+/// A request with the id of one that is still open.
 #[derive(Debug, thiserror::Error)]
 #[error("a request with this id is still open")]
 pub struct DuplicateRequestId;
@@ -41,7 +41,7 @@
     pub(super) started_at: Micros,
     /// Its task; none once it has ended.
     pub(super) task: Option<AbortHandle>,
-    /// Whether it may have been written, in whole or in part.
+    /// Whether any of it may have been written.
     pub(super) maybe_written: Rc<Cell<bool>>,
 }
 
@@ -94,7 +94,7 @@
         !self.is_completed() && self.attempts.len() < max_attempts && now < self.attempts_end_at
     }
 
-    /// Gives the final response, unless there was one. A client that disconnects at this moment is reported by its
+    /// Gives the final response, unless there was one. A client that has just disconnected is reported by its
     /// connection.
     pub(super) fn respond(&mut self, response: FinalResponse) {
         if let Some(responder) = self.responder.take() {
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// Writes a request and reads its whole response.
+/// Writes a request and reads its complete response.
 ///
 /// # Errors
 /// If there is no response, or one that is malformed.
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -60,7 +60,7 @@
     /// No endpoints yet. Both times are in microseconds; 0 means the default, 250 ms and 10 s.
     ///
     /// Idle connections are closed at half of `endpoint_idle_timeout`, after which the endpoint may do so: a request
-    /// that crosses the endpoint's close could not be told from one that ran.
+    /// that crosses the endpoint's close could not be distinguished from one that ran.
     pub fn new(
         budget: Rc<DescriptorBudget>,
         connect_timeout: Micros,
--- a/src/net/upstream/reuse.rs
+++ b/src/net/upstream/reuse.rs
@@ -9,10 +9,10 @@
 const NEW_CONNECTION_COST: f64 = 0.05;
 /// Breaks saved beyond the cost of new connections from which on older connections are not used.
 const MIN_SAVED_BREAKS: f64 = 2.0;
-/// What a count is still worth a second later.
+/// What remains of a count a second later.
 const DECAY_PER_SECOND: f64 = 0.92;
 
-/// Requests that ended on connections of one age, and those of them that a break ended before a byte came back.
+/// Requests that ended on connections of one age, and those of them that a break ended before the first byte of a response.
 #[derive(Clone, Copy, Default)]
 struct EndedRequests {
     total: f64,
--- a/tests/counter_replies.rs
+++ b/tests/counter_replies.rs
@@ -4,7 +4,7 @@
 use edge_node::net::counter::resp::{decode, Reply, ReplyError};
 
 #[test]
-fn whole_replies_are_taken_off_and_partial_ones_are_left() {
+fn complete_replies_are_taken_off_and_partial_ones_are_left() {
     let mut buffer = BytesMut::from(&b"$3\r\n2.5\r\n-BUSY later\r\n$1\r\n7"[..]);
     assert_eq!(decode(&mut buffer), Ok(Some(Reply::Total(2.5))));
     assert_eq!(decode(&mut buffer), Ok(Some(Reply::Rejected)));
--- a/tests/descriptor_budget.rs
+++ b/tests/descriptor_budget.rs
@@ -5,7 +5,7 @@
 use edge_node::net::descriptor_budget::{DescriptorBudget, RESERVED_DESCRIPTORS};
 
 #[test]
-fn a_used_idle_connection_is_closed_unless_half_of_all_are_too_new_to_tell() {
+fn a_used_idle_connection_is_closed_unless_half_of_all_are_not_classified_yet() {
     let budget = DescriptorBudget::new(RESERVED_DESCRIPTORS + 20);
     budget.register_idle(Rc::default(), true);
     for _ in 0..5 {
--- a/tests/endpoint_lists/lists.rs
+++ b/tests/endpoint_lists/lists.rs
@@ -37,12 +37,12 @@
     numbers.into_iter().map(|number| numbered(number, "up")).collect()
 }
 
-/// A whole list of this version.
+/// A full list of this version.
 pub fn snapshot(version: u64, entries: &[Value]) -> Value {
     json!({"index": version, "snapshot": true, "endpoints": entries})
 }
 
-/// A whole list, read.
+/// A full list, read.
 pub fn read(entries: &[Value]) -> EndpointList {
     let text = snapshot(2, entries).to_string();
     EndpointList::read(text.as_bytes()).expect("a list")
@@ -53,7 +53,7 @@
     PlacementLabels::new(vec!["a".into()], vec!["m1".into()])
 }
 
-/// What is known after this whole list.
+/// What is known after this full list.
 pub fn with_snapshot(known: &Endpoints, entries: &[Value]) -> AppliedList {
     known.with_snapshot(read(entries).entries(), &labels())
 }
--- a/tests/endpoint_lists/snapshot.rs
+++ b/tests/endpoint_lists/snapshot.rs
@@ -1,4 +1,4 @@
-//! Whole lists and deltas applied to the endpoints known before.
+//! Full lists and deltas applied to the endpoints known before.
 
 use std::collections::BTreeSet;
 
@@ -73,7 +73,7 @@
     delta
 }
 
-/// The whole list that names what is known.
+/// The full list that names what is known.
 fn listed(known: &Endpoints) -> Vec<Value> {
     let ids = (0..60).filter_map(|number| known.find(&name(number)));
     let endpoints = ids.filter_map(|id| known.get(id));
@@ -97,7 +97,7 @@
         let notified: Notified = beside.entries.iter().map(|entry| (entry.id, entry.state)).collect();
         assert_eq!(notified, in_place.notified);
         assert_eq!(beside.stale, in_place.stale);
-        // The same again as a whole list differs in nothing.
+        // The same again as a full list differs in nothing.
         let all = listed(&known);
         for endpoints in [&known, &beside.endpoints] {
             let same = ListDifference { unchanged: all.len(), ..ListDifference::default() };
--- a/tests/list_notification_deadline.rs
+++ b/tests/list_notification_deadline.rs
@@ -30,14 +30,14 @@
     Edge::new(&config)
 }
 
-/// The version that a call watches from; none for a call for the whole list.
+/// The version that a call watches from; none for a call for the full list.
 fn version_watched_from(call: &Seen) -> Option<u64> {
     let (_, after) = call.message.first.split_once("after=")?;
     let version = after.split('&').next().expect("a version");
     Some(version.parse().expect("a number"))
 }
 
-/// The next watch. Calls for the whole list that come before it get no response.
+/// The next watch. Calls for the full list that come before it get no response.
 fn next_watch(peer: &App) -> Seen {
     loop {
         let call = peer.next();
@@ -77,7 +77,7 @@
             end_call(&peer, call);
             let retry = next_watch(&peer);
             assert_eq!(version_watched_from(&retry), Some(version), "row {row}: something was applied");
-            // An endpoint that a whole list doesn't name is removed.
+            // An endpoint that a full list doesn't name is removed.
             let index = (row + 1) % 2;
             let list = json!({"index": version + 1, "snapshot": true, "endpoints": [listed(index)]});
             retry.answer("200 OK", "", &list.to_string());
--- a/tests/list_watch.rs
+++ b/tests/list_watch.rs
@@ -5,7 +5,7 @@
 use fakes::{ask, config, entry, nobody, App, Edge, Seen};
 use serde_json::{json, Value};
 
-/// The version that a call watches from; none for a call for the whole list.
+/// The version that a call watches from; none for a call for the full list.
 fn version_watched_from(call: &Seen) -> Option<u64> {
     let (_, after) = call.message.first.split_once("after=")?;
     let version = after.split('&').next().expect("a version");
@@ -22,7 +22,7 @@
 
 /// The first calls of a node.
 struct FirstCalls {
-    /// For the whole list.
+    /// For the full list.
     fetch: Seen,
     watch: Seen,
 }
