--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -14,7 +14,7 @@
 use crate::net::upstream::exchange::{exchange, outcome_of, Exchange};
 use crate::net::upstream::pool::{AcquireError, PooledConnection};
 use crate::net::upstream::request::ForwardedRequest;
-use crate::net::upstream::{ConnectionChoice, Upstreams};
+use crate::net::upstream::upstreams::{ConnectionChoice, Upstreams};
 
 /// How long a response may take from its first byte to its last.
 const MAX_RESPONSE_TIME: Duration = Duration::from_millis(250);
--- a/src/net/upstream/probe.rs
+++ b/src/net/upstream/probe.rs
@@ -10,7 +10,7 @@
 use crate::decision::{EndpointId, Outcome};
 use crate::net::upstream::exchange::{exchange, outcome_of};
 use crate::net::upstream::pool::PooledConnection;
-use crate::net::upstream::{ConnectionChoice, Upstreams};
+use crate::net::upstream::upstreams::{ConnectionChoice, Upstreams};
 
 /// How long a probe may take.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
--- /dev/null
+++ b/src/net/upstream/upstreams.rs
@@ -0,0 +1,167 @@
+//! All endpoints that discovery names, and the connections to them.
+
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use tokio::task::spawn_local;
+use tokio::time::sleep;
+
+use crate::decision::{EndpointId, Micros};
+use crate::net::descriptor_budget::DescriptorBudget;
+use crate::net::discovery::directory::EndpointDirectory;
+use crate::net::discovery::endpoints::{AppliedEntries, Endpoints};
+use crate::net::discovery::labels::PlacementLabels;
+use crate::net::discovery::parser::ListEntry;
+use crate::net::http_client::ClientConnection;
+use crate::net::upstream::known_endpoints::KnownEndpoints;
+use crate::net::upstream::pool::{AcquireError, ConnectionPools, EndpointPool, PooledConnection};
+
+/// A connection has at least this long to be established.
+const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(60);
+/// The time-out where the settings have none.
+const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
+/// When endpoints close idle connections, where the settings have no time.
+const DEFAULT_ENDPOINT_IDLE_TIMEOUT: Micros = 10_000_000;
+/// How often idle connections are swept.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Which connections a request may be sent on.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum ConnectionChoice {
+    /// An idle one, or else a new one.
+    IdleOrNew,
+    /// A new one.
+    NewOnly,
+}
+
+/// All endpoints that discovery names.
+pub struct Upstreams {
+    known: RefCell<KnownEndpoints>,
+    pub(super) pools: ConnectionPools,
+    connect_timeout: Duration,
+}
+
+impl Upstreams {
+    /// No endpoints yet. Both times are in microseconds; 0 means the default, 250 ms and 10 s.
+    ///
+    /// Idle connections are closed at half of `endpoint_idle_timeout`, after which the endpoint may do so: a request
+    /// that crosses the endpoint's close could not be distinguished from one that ran.
+    pub fn new(
+        budget: Rc<DescriptorBudget>,
+        connect_timeout: Micros,
+        endpoint_idle_timeout: Micros,
+    ) -> Rc<Self> {
+        let connect_timeout = positive_or(connect_timeout, DEFAULT_CONNECT_TIMEOUT);
+        let endpoint_idle_timeout = positive_or(endpoint_idle_timeout, DEFAULT_ENDPOINT_IDLE_TIMEOUT);
+        let upstreams = Rc::new(Upstreams {
+            known: RefCell::default(),
+            pools: ConnectionPools::new(budget, Duration::from_micros(endpoint_idle_timeout / 2)),
+            connect_timeout: Duration::from_micros(connect_timeout),
+        });
+        let weak = Rc::downgrade(&upstreams);
+        spawn_local(async move {
+            loop {
+                sleep(SWEEP_INTERVAL).await;
+                let Some(upstreams) = weak.upgrade() else { return };
+                upstreams.pools.sweep();
+            }
+        });
+        upstreams
+    }
+
+    /// Whether the endpoints known before a replacement can still be reached.
+    pub fn is_replacing_endpoints(&self) -> bool {
+        self.known.borrow().previous.is_some()
+    }
+
+    /// Closes the connection that has been idle for longest, to free its descriptor; false if there is none.
+    pub fn close_oldest_idle(&self) -> bool {
+        self.pools.close_oldest_idle()
+    }
+
+    /// A connection to an endpoint, for a request with this much time left.
+    pub(super) async fn acquire(
+        &self,
+        endpoint: EndpointId,
+        choice: ConnectionChoice,
+        time_left: Duration,
+    ) -> Result<PooledConnection, AcquireError> {
+        // An endpoint whose machine has vanished must not take the time in which another could still be tried.
+        let connect_timeout = self.connect_timeout.min((time_left / 4).max(MIN_CONNECT_TIMEOUT));
+        let pool = self.pool_of_active(endpoint).ok_or(AcquireError::NotActive)?;
+        if choice == ConnectionChoice::IdleOrNew {
+            if let Some(idle) = self.pools.take_idle(&pool) {
+                return Ok(idle);
+            }
+        }
+        let connection = self.pools.connect(&pool, connect_timeout).await?;
+        // The list may have changed while the connection was opened.
+        if self.leads_to_active(endpoint, &pool) {
+            Ok(connection)
+        } else {
+            Err(AcquireError::NotActive)
+        }
+    }
+
+    /// The pool of an endpoint that takes new requests.
+    fn pool_of_active(&self, id: EndpointId) -> Option<Rc<EndpointPool>> {
+        let known = self.known.borrow();
+        let endpoint = known.get_active(id)?;
+        Some(self.pools.pool_of(id, endpoint))
+    }
+
+    /// Whether connections of this pool still lead to an endpoint that takes new requests.
+    fn leads_to_active(&self, id: EndpointId, pool: &Rc<EndpointPool>) -> bool {
+        self.known.borrow().get_active(id).is_some() && self.pools.is_pool_of(id, pool)
+    }
+
+    /// Keeps a connection for further requests, if it still leads to an endpoint that takes them.
+    pub(super) fn keep(&self, id: EndpointId, connection: ClientConnection, pool: &Rc<EndpointPool>) {
+        if self.leads_to_active(id, pool) {
+            self.pools.keep(connection, pool);
+        }
+    }
+}
+
+impl EndpointDirectory for Upstreams {
+    fn endpoints(&self) -> Arc<Endpoints> {
+        self.known.borrow().current.clone()
+    }
+
+    fn is_current(&self, endpoints: &Arc<Endpoints>) -> bool {
+        Arc::ptr_eq(&self.known.borrow().current, endpoints)
+    }
+
+    fn apply_delta(&self, entries: &[ListEntry], labels: &PlacementLabels) -> AppliedEntries {
+        let mut known = self.known.borrow_mut();
+        let applied = Arc::make_mut(&mut known.current).apply_entries(entries, labels);
+        self.pools.discard(&applied.stale);
+        self.pools.close_idle_of_inactive(&known);
+        applied
+    }
+
+    fn replace(&self, endpoints: Endpoints, stale: &[EndpointId]) {
+        self.pools.discard(stale);
+        let mut known = self.known.borrow_mut();
+        let previous = std::mem::replace(&mut known.current, Arc::new(endpoints));
+        known.previous = Some(previous);
+        self.pools.retain_known(&known);
+    }
+
+    fn finish_replacement(&self) -> Option<Arc<Endpoints>> {
+        let mut known = self.known.borrow_mut();
+        let previous = known.previous.take();
+        self.pools.retain_known(&known);
+        previous
+    }
+}
+
+fn positive_or(value: Micros, default: Micros) -> Micros {
+    if value > 0 {
+        value
+    } else {
+        default
+    }
+}
