--- a/src/net/discovery/apply.rs
+++ b/src/net/discovery/apply.rs
@@ -17,8 +17,8 @@
 use crate::net::discovery::snapshot::AppliedList;
 use crate::net::event_sink::EventSink;
 
-/// Longest text of a list, in bytes, that is applied at once. Requests wait meanwhile, and a list of 46,000 endpoints
-/// takes tens of milliseconds; longer ones are prepared on a thread of their own.
+/// Longest text of a list, in bytes, that is applied at once. Requests wait meanwhile, so longer ones are prepared on
+/// a thread of their own.
 pub const MAX_INLINE_BYTES: usize = 64 * 1024;
 /// Most endpoints that are dropped at once.
 const MAX_INLINE_DROP: usize = 500;
@@ -297,7 +297,7 @@
     }
 }
 
-/// Drops what may be long on another thread: to free tens of thousands of entries holds up requests, too.
+/// Drops what may be long on another thread: requests would wait while tens of thousands of entries are freed.
 fn drop_in_background<T: Send + 'static>(value: T) {
     spawn_blocking(move || drop(value));
 }
--- a/src/net/discovery/endpoints.rs
+++ b/src/net/discovery/endpoints.rs
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Rebuilds the maps in order, which halves the memory of maps filled one by one.
+    /// Rebuilds the maps in order: they take less memory than maps filled one by one.
     pub(super) fn compact(&mut self) {
         self.by_id = std::mem::take(&mut self.by_id).into_iter().collect();
         self.by_address = std::mem::take(&mut self.by_address).into_iter().collect();
@@ -212,7 +212,7 @@
             return;
         }
         let Some(address) = entry.address.or(old.map(|old| old.address)) else {
-            applied.faults.add(format_args!("{} has no usable address", entry.name));
+            applied.faults.add(format_args!("{} has no usable address; entry left out", entry.name));
             return;
         };
         let leads_elsewhere = old.is_none_or(|old| {
--- a/src/net/discovery/list_client.rs
+++ b/src/net/discovery/list_client.rs
@@ -16,6 +16,12 @@
 use crate::net::discovery::timeout::{finish_by, WatchTimeout};
 use crate::net::http_client::ClientConnection;
 
+/// The head of a response, and the connection that its body arrives on.
+struct ResponseHead {
+    connection: ClientConnection,
+    response: Response<Incoming>,
+}
+
 /// Calls discovery at an address that may change.
 pub(super) struct ListClient {
     pub(super) address: Cell<SocketAddr>,
@@ -33,13 +39,13 @@
         let timeout = WatchTimeout::new(Instant::now(), wait);
         let send = self.send(connection.take(), path);
         let sent = finish_by(timeout.deadline(), send).await.ok_or(DiscoveryError::TimedOut)?;
-        let (used_connection, response) = sent?;
-        let status = response.status();
-        let text = read_text(response.into_body(), timeout).await?;
+        let head = sent?;
+        let status = head.response.status();
+        let text = read_text(head.response.into_body(), timeout).await?;
         if status != StatusCode::OK {
             return Err(DiscoveryError::Status(status));
         }
-        *connection = Some(used_connection);
+        *connection = Some(head.connection);
         let received = ReceivedList::read(text).await.map_err(DiscoveryError::Worker)?;
         let received = received.map_err(DiscoveryError::Malformed)?;
         if received.list.is_usable() {
@@ -50,11 +56,7 @@
     }
 
     /// Sends a request and waits for the head of its response.
-    async fn send(
-        &self,
-        kept: Option<ClientConnection>,
-        path: &str,
-    ) -> Result<(ClientConnection, Response<Incoming>), DiscoveryError> {
+    async fn send(&self, kept: Option<ClientConnection>, path: &str) -> Result<ResponseHead, DiscoveryError> {
         let mut connection = match kept.filter(ClientConnection::is_open) {
             Some(connection) => connection,
             None => ClientConnection::open(self.address.get(), ()).await.map_err(DiscoveryError::Connect)?,
@@ -64,7 +66,7 @@
             .body(Full::<Bytes>::default())
             .map_err(DiscoveryError::InvalidRequest)?;
         let response = connection.send(request).await.map_err(DiscoveryError::Send)?;
-        Ok((connection, response))
+        Ok(ResponseHead { connection, response })
     }
 }
 
--- a/src/net/discovery/parser.rs
+++ b/src/net/discovery/parser.rs
@@ -129,7 +129,8 @@
             "removed" => EndpointState::Removed,
             "draining" => EndpointState::Draining,
             unknown => {
-                self.faults.add(format_args!("{} is {unknown:?}, taken as draining", raw.name));
+                self.faults
+                    .add(format_args!("{} has the unknown status {unknown:?}; taken as draining", raw.name));
                 EndpointState::Draining
             }
         };
@@ -188,7 +189,7 @@
         while let Some(text) = sequence.next_element::<&RawValue>()? {
             match serde_json::from_str::<RawEntry<'_>>(text.get()) {
                 Ok(raw) => entries.add(raw, &mut labels),
-                Err(error) => entries.faults.add(format_args!("malformed entry: {error}")),
+                Err(error) => entries.faults.add(format_args!("malformed entry left out: {error}")),
             }
         }
         entries.parsed.shrink_to_fit();
--- a/src/net/discovery/snapshot.rs
+++ b/src/net/discovery/snapshot.rs
@@ -128,7 +128,7 @@
             return;
         }
         let Some(address) = named.address.or(old.map(|old| old.address)) else {
-            self.faults.add(format_args!("{} has no usable address", entry.name));
+            self.faults.add(format_args!("{} has no usable address; entry left out", entry.name));
             return;
         };
         self.entries.push(attributes.entry(id));
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -207,8 +207,18 @@
         };
         let attempt_number = request.attempts.len();
         if request.may_start_attempt(now, self.max_attempts) {
-            let attempt = self.spawn_attempt(id, attempt_number, request, endpoint, timeout, now);
-            request.attempts.push(attempt);
+            let ends_at = request.attempt_ends_at(now, timeout);
+            let maybe_written = Rc::new(Cell::new(false));
+            let sending = SendingAttempt {
+                request: id,
+                attempt_number,
+                endpoint,
+                forwarded: request.forwarded.clone(),
+                ends_at,
+                maybe_written: maybe_written.clone(),
+            };
+            let task = spawn_local(sending.run(self.own())).abort_handle();
+            request.attempts.push(Attempt { endpoint, started_at: now, task: Some(task), maybe_written });
             return;
         }
         request.attempts.push(Attempt::not_sent(endpoint, now));
@@ -225,30 +235,6 @@
         }));
     }
 
-    fn spawn_attempt(
-        &self,
-        id: RequestId,
-        attempt_number: usize,
-        request: &OpenRequest,
-        endpoint: EndpointId,
-        timeout: Micros,
-        now: Micros,
-    ) -> Attempt {
-        let ends_at =
-            if timeout > 0 { request.attempts_end_at.min(now + timeout) } else { request.attempts_end_at };
-        let event_loop = self.own();
-        let forwarded = request.forwarded.clone();
-        let maybe_written = Rc::new(Cell::new(false));
-        let written_flag = maybe_written.clone();
-        let task = spawn_local(async move {
-            let upstreams = &event_loop.upstreams;
-            let result =
-                upstreams.attempt(&event_loop.clock, endpoint, &forwarded, ends_at, &written_flag).await;
-            event_loop.finish_attempt(&id, attempt_number, result);
-        });
-        Attempt { endpoint, started_at: now, task: Some(task.abort_handle()), maybe_written }
-    }
-
     /// Ends an attempt before its endpoint has responded.
     fn end_attempt(&self, id: &RequestId, attempt_number: usize, outcome: Outcome) {
         self.finish_attempt(id, attempt_number, AttemptResult { outcome, body: None });
@@ -308,6 +294,27 @@
     }
 }
 
+/// An attempt that is about to be sent.
+struct SendingAttempt {
+    request: RequestId,
+    attempt_number: usize,
+    endpoint: EndpointId,
+    forwarded: Rc<ForwardedRequest>,
+    ends_at: Micros,
+    maybe_written: Rc<Cell<bool>>,
+}
+
+impl SendingAttempt {
+    async fn run(self, event_loop: Rc<EventLoop>) {
+        let upstreams = &event_loop.upstreams;
+        let clock = &event_loop.clock;
+        let attempt =
+            upstreams.attempt(clock, self.endpoint, &self.forwarded, self.ends_at, &self.maybe_written);
+        let result = attempt.await;
+        event_loop.finish_attempt(&self.request, self.attempt_number, result);
+    }
+}
+
 /// The request that may be settled once this event is handled.
 fn request_ended_by(event: &Event) -> Option<RequestId> {
     match event {
--- a/src/net/open_requests.rs
+++ b/src/net/open_requests.rs
@@ -63,7 +63,7 @@
     /// What is sent to endpoints.
     pub(super) forwarded: Rc<ForwardedRequest>,
     /// Attempts are cancelled at this time.
-    pub(super) attempts_end_at: Micros,
+    attempts_end_at: Micros,
     /// Its attempts, by number.
     pub(super) attempts: Vec<Attempt>,
 }
@@ -94,6 +94,15 @@
         !self.is_completed() && self.attempts.len() < max_attempts && now < self.attempts_end_at
     }
 
+    /// When an attempt ends that is started now with this time limit, in microseconds; 0 means no limit of its own.
+    pub(super) fn attempt_ends_at(&self, now: Micros, timeout: Micros) -> Micros {
+        if timeout > 0 {
+            self.attempts_end_at.min(now + timeout)
+        } else {
+            self.attempts_end_at
+        }
+    }
+
     /// Gives the final response, unless there was one. A client that has just disconnected is reported by its
     /// connection.
     pub(super) fn respond(&mut self, response: FinalResponse) {
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -104,7 +104,7 @@
         if !matches!(result, Err(SendError::NotWritten(_))) {
             let broke_before_response =
                 matches!(result, Err(SendError::ConnectionBroken)) && !response_start.has_begun();
-            self.pools.reuse.request_ended(idle_for, broke_before_response);
+            self.pools.request_ended(idle_for, broke_before_response);
         }
         match result {
             Ok(Exchange { outcome, body, is_reusable }) => {
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -94,8 +94,7 @@
     by_endpoint: RefCell<BTreeMap<EndpointId, Rc<EndpointPool>>>,
     budget: Rc<DescriptorBudget>,
     max_idle: Duration,
-    /// How old an idle connection may be, learned from how requests on such connections end.
-    pub(super) reuse: ReuseLimit,
+    reuse: ReuseLimit,
 }
 
 impl ConnectionPools {
@@ -115,6 +114,12 @@
         });
     }
 
+    /// A request ended on a connection that was idle for this long (none: a new one). `broke`: the connection broke
+    /// before any byte of the response.
+    pub(super) fn request_ended(&self, idle_for: Option<Duration>, broke: bool) {
+        self.reuse.request_ended(idle_for, broke);
+    }
+
     fn is_usable(&self, idle: &IdleConnection) -> bool {
         let idle_for = idle.idle_since.elapsed();
         idle_for < self.max_idle && self.reuse.allows(idle_for) && idle.connection.is_open()
