--- a/src/net/discovery/parser.rs
+++ b/src/net/discovery/parser.rs
@@ -22,7 +22,7 @@
     /// The version, as the agent counts.
     #[serde(rename = "index")]
     pub version: u64,
-    /// Whether it is the whole list, and not a delta.
+    /// Whether it is the full list, and not a delta.
     #[serde(rename = "snapshot", default)]
     pub is_snapshot: bool,
     endpoints: Option<ParsedEntries>,
@@ -42,7 +42,7 @@
         self.endpoints.as_ref().is_none_or(ParsedEntries::is_empty)
     }
 
-    /// Whether it can be applied. A whole list without entries, or with none that can be read, would remove every
+    /// Whether it can be applied. A full list without entries, or with none that can be read, would remove every
     /// endpoint. Of a delta, entries that cannot be read are passed over.
     pub fn is_usable(&self) -> bool {
         let Some(entries) = &self.endpoints else { return false };
@@ -129,7 +129,8 @@
             "removed" => EndpointState::Removed,
             "draining" => EndpointState::Draining,
             unknown => {
-                self.faults.add(format_args!("{} is {unknown:?}, taken as draining", raw.name));
+                self.faults
+                    .add(format_args!("{} has the unknown status {unknown:?}; taken as draining", raw.name));
                 EndpointState::Draining
             }
         };
@@ -188,7 +189,7 @@
         while let Some(text) = sequence.next_element::<&RawValue>()? {
             match serde_json::from_str::<RawEntry<'_>>(text.get()) {
                 Ok(raw) => entries.add(raw, &mut labels),
-                Err(error) => entries.faults.add(format_args!("malformed entry: {error}")),
+                Err(error) => entries.faults.add(format_args!("malformed entry left out: {error}")),
             }
         }
         entries.parsed.shrink_to_fit();
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -14,7 +14,7 @@
 use crate::net::upstream::exchange::{exchange, outcome_of, Exchange};
 use crate::net::upstream::pool::{AcquireError, PooledConnection};
 use crate::net::upstream::request::ForwardedRequest;
-use crate::net::upstream::{ConnectionChoice, Upstreams};
+use crate::net::upstream::upstreams::{ConnectionChoice, Upstreams};
 
 /// How long a response may take from its first byte to its last.
 const MAX_RESPONSE_TIME: Duration = Duration::from_millis(250);
@@ -104,7 +104,7 @@
         if !matches!(result, Err(SendError::NotWritten(_))) {
             let broke_before_response =
                 matches!(result, Err(SendError::ConnectionBroken)) && !response_start.has_begun();
-            self.pools.reuse.request_ended(idle_for, broke_before_response);
+            self.pools.request_ended(idle_for, broke_before_response);
         }
         match result {
             Ok(Exchange { outcome, body, is_reusable }) => {
