--- a/crates/scale-bench/src/decisions.rs
+++ b/crates/scale-bench/src/decisions.rs
@@ -16,7 +16,7 @@
 use rand::{Rng, SeedableRng};
 use serde::Serialize;
 
-use crate::error::RigError;
+use crate::error::BenchError;
 use crate::memory::Memory;
 use crate::report::{Output, Report};
 use crate::slopes::child;
@@ -94,20 +94,20 @@
 }
 
 /// Makes the run and tells its figures.
-pub fn run(options: Options) -> Result<(), RigError> {
+pub fn run(options: Options) -> Result<(), BenchError> {
     options.check()?;
     let report = match &options.beside {
         Some(program) => beside(&options, program)?,
         None => measure(&options)?,
     };
-    report.tell(&options.output)
+    report.print(&options.output)
 }
 
 impl Options {
-    fn check(&self) -> Result<(), RigError> {
+    fn check(&self) -> Result<(), BenchError> {
         let within = |name: &str, value: f64, least: f64, most: f64| {
             let fits = (least..=most).contains(&value);
-            let text = || RigError::Argument(format!("--{name} {value} is not within {least} to {most}"));
+            let text = || BenchError::Argument(format!("--{name} {value} is not within {least} to {most}"));
             fits.then_some(()).ok_or_else(text)
         };
         within("rate", self.rate, 0.1, 100_000.0)?;
@@ -119,7 +119,7 @@
         within("limit-s", self.limit_s, 0.1, 3_600.0)?;
         match self.me {
             Some(me) if me >= self.nodes => {
-                Err(RigError::Argument(format!("--me {me} is no node of {}", self.nodes)))
+                Err(BenchError::Argument(format!("--me {me} is no node of {}", self.nodes)))
             }
             _ => Ok(()),
         }
@@ -416,7 +416,7 @@
     }
 
     /// Lets time pass.
-    fn pass(&mut self, span: Micros) -> Result<(), RigError> {
+    fn pass(&mut self, span: Micros) -> Result<(), BenchError> {
         let until = self.now + span;
         while let Some(entry) = self.queue.first_entry().filter(|e| e.key().0 <= until) {
             let ((at, _), next) = entry.remove_entry();
@@ -424,7 +424,7 @@
             self.step(next);
             if Instant::now() > self.ends {
                 let text = format!("the run took longer than --limit-s {}", self.options.limit_s);
-                return Err(RigError::Argument(text));
+                return Err(BenchError::Argument(text));
             }
         }
         self.now = until;
@@ -551,7 +551,7 @@
 }
 
 /// One run in this process.
-fn measure(options: &Options) -> Result<Report, RigError> {
+fn measure(options: &Options) -> Result<Report, BenchError> {
     let before = resident()?;
     let (mut model, me) = Model::new(options);
     let listed = resident()?;
@@ -633,21 +633,21 @@
     Ok(report)
 }
 
-fn report(options: &Options) -> Result<Report, RigError> {
+fn report(options: &Options) -> Result<Report, BenchError> {
     let arguments = serde_json::to_value(options)
-        .map_err(|e| RigError::System { what: "cannot tell the arguments", source: e.into() })?;
+        .map_err(|e| BenchError::System { what: "cannot tell the arguments", source: e.into() })?;
     Ok(Report::new("decisions", arguments))
 }
 
 /// Resident memory of this process, in bytes.
-fn resident() -> Result<f64, RigError> {
+fn resident() -> Result<f64, BenchError> {
     Memory::own().map(|memory| memory.resident as f64)
 }
 
 /// Runs this build and another in turn, each in a process of its own, and tells the ratios of their figures.
-fn beside(options: &Options, program: &std::path::Path) -> Result<Report, RigError> {
+fn beside(options: &Options, program: &std::path::Path) -> Result<Report, BenchError> {
     let this = std::env::current_exe()
-        .map_err(|source| RigError::System { what: "cannot find this program", source })?;
+        .map_err(|source| BenchError::System { what: "cannot find this program", source })?;
     let ends = Instant::now() + Duration::from_secs_f64(options.limit_s) * 2 * options.rounds;
     let sizes =
         (options.beside_servers.unwrap_or(options.servers), options.beside_nodes.unwrap_or(options.nodes));
@@ -661,7 +661,7 @@
             0 => ours().and_then(|a| Ok((a, theirs()?))),
             _ => theirs().and_then(|b| Ok((ours()?, b))),
         };
-        rounds.push(pair.map_err(RigError::Argument)?);
+        rounds.push(pair.map_err(BenchError::Argument)?);
     }
     let mut report = report(options)?;
     let Some((first, _)) = rounds.first() else { return Ok(report) };
--- a/crates/scale-bench/src/error.rs
+++ b/crates/scale-bench/src/error.rs
@@ -6,7 +6,7 @@
 
 /// Why a run could not be made; its text is the one line that the user sees.
 #[derive(Debug, thiserror::Error)]
-pub enum RigError {
+pub enum BenchError {
     /// An argument that parses but can't be used.
     #[error("{0}")]
     Argument(String),
--- a/crates/scale-bench/src/fleet/counter.rs
+++ b/crates/scale-bench/src/fleet/counter.rs
@@ -1,82 +1,109 @@
-//! The model counter: a few parts that serve calls in turn, each at its share of a given rate.
+//! The model counter service: parts that serve calls one after the other, each at its share of a given rate.
 
 use std::collections::HashMap;
 
 use edge_node::decision::{CounterKey, Micros, Outcome};
 
-/// No name is kept for longer.
-const KEEP_MOST: Micros = 60_000_000;
-/// Names that are over are dropped this often.
-const SWEEP: Micros = 10_000_000;
+/// No counter is kept for longer.
+const MAX_KEEP_FOR: Micros = 60_000_000;
+/// Expired counters are removed this often.
+const SWEEP_INTERVAL: Micros = 10_000_000;
 
-/// What the counter does with calls.
+/// What the counter service does with calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mood {
+pub enum CounterMode {
     /// Serves them.
-    Well,
-    /// Takes them in and says nothing; nothing is added.
+    Serving,
+    /// Accepts them, adds nothing and never replies.
     Silent,
-    /// Answers each with `-BUSY`.
+    /// Replies `-BUSY` to each.
     Busy,
 }
 
-/// What becomes of a call that arrives.
+/// The reply to a call.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Reply {
-    /// When the answer leaves.
+    /// When the reply leaves the service.
     pub at: Micros,
-    /// `Ok` or `Full`.
+    /// `Ok` or `Rejected`.
     pub outcome: Outcome,
-    /// The total, with `Ok`.
+    /// The counter's total after the call; valid with `Ok`.
     pub total: f64,
 }
 
+#[derive(Clone, Copy, Default)]
+struct Total {
+    units: f64,
+    expires_at: Micros,
+}
+
 /// One counter service.
-pub struct Counter {
-    /// What it does with calls now.
-    pub mood: Mood,
-    free: Vec<Micros>,
-    /// Time of one call at one part.
-    each: Micros,
-    /// A part with a line this long (as time) turns calls away.
-    line_most: Micros,
-    /// Danger: never gone through in order, or a run would not repeat.
-    totals: HashMap<u64, (f64, Micros)>,
-    swept: Micros,
+pub struct CounterService {
+    mode: CounterMode,
+    /// By part, when it has served all calls that it accepted.
+    free_at: Vec<Micros>,
+    time_per_call: Micros,
+    /// A part whose backlog takes longer than this rejects calls.
+    max_backlog: Micros,
+    /// Never iterated in order: the order of a hash map would differ from run to run.
+    totals: HashMap<u64, Total>,
+    last_sweep_at: Micros,
 }
 
-impl Counter {
-    /// A counter of so many parts that does `rate` calls a second in all, and lets `queue` calls wait at each.
-    pub fn new(rate: f64, parts: usize, queue: u32) -> Self {
-        let each = ((parts as f64 / rate * 1e6).round() as Micros).max(1);
-        let line_most = each.saturating_mul(Micros::from(queue));
-        let free = vec![0; parts];
-        Counter { mood: Mood::Well, free, each, line_most, totals: HashMap::new(), swept: 0 }
+impl CounterService {
+    /// Creates a service of `parts` parts that serves `rate` calls a second in all and queues up to
+    /// `queue_length` calls at each part.
+    pub fn new(rate: f64, parts: usize, queue_length: u32) -> Self {
+        let time_per_call = ((parts as f64 / rate * 1e6).round() as Micros).max(1);
+        CounterService {
+            mode: CounterMode::Serving,
+            free_at: vec![0; parts],
+            time_per_call,
+            max_backlog: time_per_call.saturating_mul(Micros::from(queue_length)),
+            totals: HashMap::new(),
+            last_sweep_at: 0,
+        }
     }
 
-    /// Takes a call that arrives now; none if it will never be answered.
-    pub fn add(&mut self, now: Micros, name: CounterKey, amount: f64, keep: Micros) -> Option<Reply> {
-        match self.mood {
-            Mood::Silent => return None,
-            Mood::Busy => return Some(Reply { at: now, outcome: Outcome::Rejected, total: 0.0 }),
-            Mood::Well => {}
+    /// Sets what the service does with calls from now on.
+    pub fn set_mode(&mut self, mode: CounterMode) {
+        self.mode = mode;
+    }
+
+    /// Accepts a call that arrives now; `None` if it will never be answered.
+    pub fn increment(
+        &mut self,
+        now: Micros,
+        key: CounterKey,
+        amount: f64,
+        keep_for: Micros,
+    ) -> Option<Reply> {
+        let rejected = Reply { at: now, outcome: Outcome::Rejected, total: 0.0 };
+        match self.mode {
+            CounterMode::Silent => return None,
+            CounterMode::Busy => return Some(rejected),
+            CounterMode::Serving => {}
         }
-        if now >= self.swept + SWEEP {
-            self.swept = now;
-            self.totals.retain(|_, &mut (_, over)| now < over);
+        self.remove_expired(now);
+        let part = (key.0 % self.free_at.len() as u64) as usize;
+        let begins_at = self.free_at[part].max(now);
+        if begins_at - now > self.max_backlog {
+            return Some(rejected);
         }
-        let part = (name.0 % self.free.len() as u64) as usize;
-        let begin = self.free[part].max(now);
-        if begin - now > self.line_most {
-            return Some(Reply { at: now, outcome: Outcome::Rejected, total: 0.0 });
+        let served_at = begins_at + self.time_per_call;
+        self.free_at[part] = served_at;
+        let entry = self.totals.entry(key.0).or_default();
+        if entry.expires_at <= served_at {
+            *entry = Total { units: 0.0, expires_at: served_at + keep_for.min(MAX_KEEP_FOR) };
         }
-        let at = begin + self.each;
-        self.free[part] = at;
-        let entry = self.totals.entry(name.0).or_insert((0.0, 0));
-        if entry.1 <= at {
-            *entry = (0.0, at + keep.min(KEEP_MOST));
+        entry.units += amount;
+        Some(Reply { at: served_at, outcome: Outcome::Ok, total: entry.units })
+    }
+
+    fn remove_expired(&mut self, now: Micros) {
+        if now >= self.last_sweep_at + SWEEP_INTERVAL {
+            self.last_sweep_at = now;
+            self.totals.retain(|_, total| now < total.expires_at);
         }
-        entry.0 += amount;
-        Some(Reply { at, outcome: Outcome::Ok, total: entry.0 })
     }
 }
--- a/crates/scale-bench/src/fleet/queue.rs
+++ b/crates/scale-bench/src/fleet/event_queue.rs
@@ -1,4 +1,4 @@
-//! The one ordered event queue and its simulated clock.
+//! The one ordered event queue of a run, with its simulated clock.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -26,38 +26,38 @@
 }
 
 impl<E> Ord for Entry<E> {
-    /// Reversed: the heap gives its greatest first, and the earliest is wanted.
+    /// Reversed, because the heap returns its greatest entry first and the earliest one is needed.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-/// Events in the order of their times, and those of one time in the order in which they were put in.
-pub struct Queue<E> {
+/// Events ordered by time; events of the same time keep the order in which they were scheduled.
+pub struct EventQueue<E> {
     heap: BinaryHeap<Entry<E>>,
     sequence: u64,
     now: Micros,
 }
 
-impl<E> Queue<E> {
-    /// An empty queue at this time.
+impl<E> EventQueue<E> {
+    /// Creates an empty queue whose clock shows `now`.
     pub fn new(now: Micros) -> Self {
-        Queue { heap: BinaryHeap::new(), sequence: 0, now }
+        EventQueue { heap: BinaryHeap::new(), sequence: 0, now }
     }
 
-    /// The time of the latest event taken out, in microseconds.
+    /// The simulated time: that of the latest event taken out, in microseconds.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// Puts an event in; a time that is past counts as now.
-    pub fn at(&mut self, at: Micros, event: E) {
+    /// Schedules an event; a time in the past counts as now.
+    pub fn schedule(&mut self, at: Micros, event: E) {
         self.sequence += 1;
         self.heap.push(Entry { at: at.max(self.now), sequence: self.sequence, event });
     }
 
     /// Takes the next event out and moves the clock to it.
-    pub fn next(&mut self) -> Option<E> {
+    pub fn pop(&mut self) -> Option<E> {
         let entry = self.heap.pop()?;
         self.now = entry.at;
         Some(entry.event)
--- a/crates/scale-bench/src/memory.rs
+++ b/crates/scale-bench/src/memory.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-use crate::error::RigError;
+use crate::error::BenchError;
 
 /// Memory of a process, in bytes.
 #[derive(Debug, Clone, Copy)]
@@ -18,9 +18,9 @@
     ///
     /// # Errors
     /// If the machine has no such process.
-    pub fn of(process: &str) -> Result<Option<Memory>, RigError> {
+    pub fn of(process: &str) -> Result<Option<Memory>, BenchError> {
         let path = path(process);
-        let status = std::fs::read_to_string(&path).map_err(|source| RigError::File { path, source })?;
+        let status = std::fs::read_to_string(&path).map_err(|source| BenchError::File { path, source })?;
         let bytes = |key: &str| {
             let line = status.lines().find_map(|line| line.strip_prefix(key));
             let kilobytes = line.and_then(|line| line.split_whitespace().next()?.parse::<u64>().ok());
@@ -33,9 +33,9 @@
     ///
     /// # Errors
     /// If the machine does not tell.
-    pub fn own() -> Result<Memory, RigError> {
+    pub fn own() -> Result<Memory, BenchError> {
         let source = io::Error::new(io::ErrorKind::InvalidData, "it tells no resident size");
-        Memory::of("self")?.ok_or_else(|| RigError::File { path: path("self"), source })
+        Memory::of("self")?.ok_or_else(|| BenchError::File { path: path("self"), source })
     }
 }
 
--- a/crates/scale-bench/src/node.rs
+++ b/crates/scale-bench/src/node.rs
@@ -24,7 +24,7 @@
 use self::clients::{load, Plan, Tally};
 use self::process::{EdgeNode, Process, Usage};
 use self::settings::Config;
-use crate::error::RigError;
+use crate::error::BenchError;
 use crate::report::{Output, Report};
 use crate::stand_ins::agent::Agent;
 use crate::stand_ins::app_servers::{AppServers, Work};
@@ -255,8 +255,8 @@
 
 impl Options {
     /// What no single argument shows: whether they fit together.
-    fn check(&self) -> Result<(), RigError> {
-        let wrong = |text: String| Err(RigError::Argument(text));
+    fn check(&self) -> Result<(), BenchError> {
+        let wrong = |text: String| Err(BenchError::Argument(text));
         if self.me >= self.nodes {
             return wrong(format!("--me {} is none of --nodes {} numbered from 0", self.me, self.nodes));
         }
@@ -296,7 +296,7 @@
 }
 
 /// Lets this process hold so many descriptors, if the machine permits it.
-fn allow_descriptors(needed: u64) -> Result<(), RigError> {
+fn allow_descriptors(needed: u64) -> Result<(), BenchError> {
     let limit = getrlimit(Resource::Nofile);
     if limit.current.is_none_or(|current| current >= needed) {
         return Ok(());
@@ -304,10 +304,10 @@
     if limit.maximum.is_some_and(|maximum| maximum < needed) {
         let text =
             format!("--rate and --deadline-ms may take {needed} descriptors, more than this machine permits");
-        return Err(RigError::Argument(text));
+        return Err(BenchError::Argument(text));
     }
     setrlimit(Resource::Nofile, Rlimit { current: Some(needed), ..limit })
-        .map_err(|e| RigError::System { what: "cannot raise the limit of descriptors", source: e.into() })
+        .map_err(|e| BenchError::System { what: "cannot raise the limit of descriptors", source: e.into() })
 }
 
 fn seconds(number: f64) -> Duration {
@@ -315,12 +315,12 @@
 }
 
 /// Makes the run and tells its figures.
-pub fn run(options: Options) -> Result<(), RigError> {
-    measure(&options)?.tell(&options.output)
+pub fn run(options: Options) -> Result<(), BenchError> {
+    measure(&options)?.print(&options.output)
 }
 
 /// Makes the run. Its peers and the edge node's process end with it.
-pub fn measure(options: &Options) -> Result<Report, RigError> {
+pub fn measure(options: &Options) -> Result<Report, BenchError> {
     options.check()?;
     allow_descriptors(options.descriptors())?;
     let (data, control) = (runtime(DATA_THREADS)?, runtime(CONTROL_THREADS)?);
@@ -330,23 +330,24 @@
     result
 }
 
-fn runtime(threads: usize) -> Result<Runtime, RigError> {
+fn runtime(threads: usize) -> Result<Runtime, BenchError> {
     let built = Builder::new_multi_thread().worker_threads(threads).enable_all().build();
-    built.map_err(|source| RigError::System { what: "cannot start threads", source })
+    built.map_err(|source| BenchError::System { what: "cannot start threads", source })
 }
 
 /// A future that comes back when the rig is told to end. Danger: without it a signal would end the rig at once and
 /// leave the edge node's process behind.
-fn interrupted() -> Result<impl Future<Output = RigError>, RigError> {
-    let listen =
-        |kind| signal(kind).map_err(|source| RigError::System { what: "cannot listen for signals", source });
+fn interrupted() -> Result<impl Future<Output = BenchError>, BenchError> {
+    let listen = |kind| {
+        signal(kind).map_err(|source| BenchError::System { what: "cannot listen for signals", source })
+    };
     let (mut interrupt, mut terminate) = (listen(SignalKind::interrupt())?, listen(SignalKind::terminate())?);
     Ok(async move {
         tokio::select! {
             _ = interrupt.recv() => {}
             _ = terminate.recv() => {}
         }
-        RigError::EdgeNode("the run was interrupted".into())
+        BenchError::EdgeNode("the run was interrupted".into())
     })
 }
 
@@ -366,7 +367,7 @@
 }
 
 impl Reading {
-    fn new(edge: &EdgeNode, peers: &Peers) -> Result<Reading, RigError> {
+    fn new(edge: &EdgeNode, peers: &Peers) -> Result<Reading, BenchError> {
         let (agent, counter) = (peers.agent.traffic(), peers.counter.traffic());
         Ok(Reading { usage: edge.usage()?, agent, counter, at: Instant::now() })
     }
@@ -376,12 +377,12 @@
     runtime: &Runtime,
     what: &'static str,
     work: impl Future<Output = std::io::Result<T>> + Send + 'static,
-) -> Result<T, RigError> {
+) -> Result<T, BenchError> {
     let done = runtime.spawn(work).await.unwrap_or_else(|e| Err(e.into()));
-    done.map_err(|source| RigError::System { what, source })
+    done.map_err(|source| BenchError::System { what, source })
 }
 
-async fn play(options: &Options, control: &Runtime) -> Result<Report, RigError> {
+async fn play(options: &Options, control: &Runtime) -> Result<Report, BenchError> {
     let plan = Plan::new(options);
     let work = Work {
         seed: mix(options.seed, 4),
@@ -391,7 +392,7 @@
         idle: seconds(options.conn_idle_s),
     };
     let (servers, port) = AppServers::start(work, plan.requests().len() as u32).map_err(|source| {
-        RigError::System { what: "cannot listen for app servers on the loopback device alone", source }
+        BenchError::System { what: "cannot listen for app servers on the loopback device alone", source }
     })?;
     let mut list = ServerList::new(Shape {
         servers: options.servers,
@@ -407,7 +408,7 @@
     let (counter, counter_at) = on(control, "cannot listen for the counter", Counter::start(service)).await?;
     let list_bytes = agent
         .whole_text()
-        .map_err(|e| RigError::System { what: "cannot write the list", source: e.into() })?;
+        .map_err(|e| BenchError::System { what: "cannot write the list", source: e.into() })?;
     let peers = Peers { agent, counter, servers };
 
     let config = Config::new(options, agent_at, counter_at, known);
@@ -428,7 +429,7 @@
     };
     let result = tokio::select! {
         result = timeout(overall, figures) => result.unwrap_or_else(|_| {
-            Err(RigError::EdgeNode(format!("the run has taken over {overall:?}")))
+            Err(BenchError::EdgeNode(format!("the run has taken over {overall:?}")))
         }),
         error = process.ended() => Err(error),
         error = interrupted => Err(error),
@@ -453,8 +454,8 @@
     told
 }
 
-fn write(config: &Config) -> Result<NamedTempFile, RigError> {
-    let in_temp = |source| RigError::File { path: std::env::temp_dir().display().to_string(), source };
+fn write(config: &Config) -> Result<NamedTempFile, BenchError> {
+    let in_temp = |source| BenchError::File { path: std::env::temp_dir().display().to_string(), source };
     let mut file = NamedTempFile::new().map_err(in_temp)?;
     let mut buffered = BufWriter::new(&mut file);
     serde_json::to_writer(&mut buffered, config).map_err(|e| in_temp(e.into()))?;
@@ -519,7 +520,7 @@
     plan: Plan,
     work: Work,
     report: &mut Report,
-) -> Result<(), RigError> {
+) -> Result<(), BenchError> {
     sleep(seconds(options.settle_s)).await;
     let before_idle = Reading::new(edge, peers)?;
     sleep(seconds(options.idle_s)).await;
--- a/crates/scale-bench/src/node/clients.rs
+++ b/crates/scale-bench/src/node/clients.rs
@@ -18,7 +18,7 @@
 
 use super::settings::{CLASSES, FREE, PAID};
 use super::{Arrivals, Options};
-use crate::error::RigError;
+use crate::error::BenchError;
 use crate::stand_ins::app_servers::{id, AppServers, Work};
 use crate::stand_ins::mix;
 
@@ -161,8 +161,8 @@
     pub attempts: u64,
 }
 
-fn histogram() -> Result<Histogram<u64>, RigError> {
-    Histogram::new_with_max(LATENCY_MOST, 3).map_err(|e| RigError::Argument(e.to_string()))
+fn histogram() -> Result<Histogram<u64>, BenchError> {
+    Histogram::new_with_max(LATENCY_MOST, 3).map_err(|e| BenchError::Argument(e.to_string()))
 }
 
 fn micros(time: Duration) -> u64 {
@@ -170,7 +170,7 @@
 }
 
 impl Tally {
-    fn new() -> Result<Tally, RigError> {
+    fn new() -> Result<Tally, BenchError> {
         Ok(Tally {
             sent: 0,
             served: 0,
@@ -223,7 +223,7 @@
     options: &Options,
     servers: Arc<AppServers>,
     work: Work,
-) -> Result<Tally, RigError> {
+) -> Result<Tally, BenchError> {
     let shared = Arc::new(Shared {
         edge,
         deadline: Duration::from_millis(options.deadline_ms),
@@ -249,7 +249,7 @@
             }
         }
     });
-    pacer.map_err(|source| RigError::System { what: "cannot start a thread", source })?;
+    pacer.map_err(|source| BenchError::System { what: "cannot start a thread", source })?;
     let all = shared.clone();
     tokio::spawn(async move {
         while let Some(planned) = next.recv().await {
--- a/crates/scale-bench/src/node/process.rs
+++ b/crates/scale-bench/src/node/process.rs
@@ -20,7 +20,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout, Instant};
 
-use crate::error::RigError;
+use crate::error::BenchError;
 use crate::memory::Memory;
 
 /// What stands before the address in the line that tells where the edge node listens.
@@ -59,7 +59,7 @@
 
 impl Process {
     /// Starts the program with the configuration in this file.
-    pub fn start(program: &Path, config: &Path) -> Result<(Process, Starting), RigError> {
+    pub fn start(program: &Path, config: &Path) -> Result<(Process, Starting), BenchError> {
         let started = Instant::now();
         let mut child = Command::new(program)
             .env("PROXY_CONFIG", config)
@@ -68,9 +68,9 @@
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
-            .map_err(|source| RigError::File { path: program.display().to_string(), source })?;
+            .map_err(|source| BenchError::File { path: program.display().to_string(), source })?;
         let (Some(pid), Some(stderr)) = (child.id(), child.stderr.take()) else {
-            return Err(RigError::EdgeNode("has no log".into()));
+            return Err(BenchError::EdgeNode("has no log".into()));
         };
         let log = Arc::new(Mutex::new(Log::default()));
         let (tell, told) = oneshot::channel();
@@ -80,15 +80,15 @@
     }
 
     /// Comes back when the process has ended by itself, with why that is no good.
-    pub async fn ended(&mut self) -> RigError {
+    pub async fn ended(&mut self) -> BenchError {
         let status = self.child.wait().await;
         if let Some(reader) = self.reader.take() {
             // Its last words may lie unread. What it has started in its turn may keep the pipe open.
             let _ = timeout(LAST_WORDS, reader).await;
         }
         match status {
-            Ok(status) => RigError::EdgeNode(format!("has ended by itself, {status}: {}", last(&self.log))),
-            Err(source) => RigError::System { what: "cannot wait for the edge node", source },
+            Ok(status) => BenchError::EdgeNode(format!("has ended by itself, {status}: {}", last(&self.log))),
+            Err(source) => BenchError::System { what: "cannot wait for the edge node", source },
         }
     }
 
@@ -122,7 +122,7 @@
 
 impl Starting {
     /// Waits until it says where it listens. If it ends instead, that is told by its process.
-    pub async fn listens(self, limit: Duration) -> Result<EdgeNode, RigError> {
+    pub async fn listens(self, limit: Duration) -> Result<EdgeNode, BenchError> {
         let Starting { told, pid, log, started } = self;
         let heard = async {
             match told.await {
@@ -132,20 +132,20 @@
         };
         match timeout(limit, heard).await {
             Ok(address) => Ok(EdgeNode { pid, log, address, started }),
-            Err(_) => Err(RigError::EdgeNode(format!("does not listen after {limit:?}"))),
+            Err(_) => Err(BenchError::EdgeNode(format!("does not listen after {limit:?}"))),
         }
     }
 }
 
 impl EdgeNode {
     /// Waits until `GET /up` is answered with 200; how long that took from the start on.
-    pub async fn ready(&self, limit: Duration) -> Result<Duration, RigError> {
+    pub async fn ready(&self, limit: Duration) -> Result<Duration, BenchError> {
         loop {
             if let Ok(Some(())) = timeout(LOOK_MOST, self.is_up()).await {
                 return Ok(self.started.elapsed());
             }
             if self.started.elapsed() > limit {
-                return Err(RigError::EdgeNode(format!("is not ready after {limit:?}")));
+                return Err(BenchError::EdgeNode(format!("is not ready after {limit:?}")));
             }
             sleep(LOOK).await;
         }
@@ -163,7 +163,7 @@
     }
 
     /// What it has cost by now.
-    pub fn usage(&self) -> Result<Usage, RigError> {
+    pub fn usage(&self) -> Result<Usage, BenchError> {
         Usage::of(self.pid)
     }
 
@@ -191,10 +191,10 @@
 
 impl Usage {
     /// Reads them from `/proc`.
-    pub fn of(pid: u32) -> Result<Usage, RigError> {
+    pub fn of(pid: u32) -> Result<Usage, BenchError> {
         let at = Instant::now();
         let (threads, ticks) = (scheduled(pid), ticks(pid)?);
-        let memory = Memory::of(&pid.to_string())?.ok_or_else(|| RigError::EdgeNode("has ended".into()))?;
+        let memory = Memory::of(&pid.to_string())?.ok_or_else(|| BenchError::EdgeNode("has ended".into()))?;
         Ok(Usage { threads, ticks, memory, at })
     }
 
@@ -228,8 +228,8 @@
     }
 }
 
-fn read(path: &str) -> Result<String, RigError> {
-    std::fs::read_to_string(path).map_err(|source| RigError::File { path: path.into(), source })
+fn read(path: &str) -> Result<String, BenchError> {
+    std::fs::read_to_string(path).map_err(|source| BenchError::File { path: path.into(), source })
 }
 
 /// By a thread's number, how long it has been on a processor, and waiting for one.
@@ -253,7 +253,7 @@
     Duration::from_secs_f64(1.0 / rustix::param::clock_ticks_per_second().max(1) as f64)
 }
 
-fn ticks(pid: u32) -> Result<Duration, RigError> {
+fn ticks(pid: u32) -> Result<Duration, BenchError> {
     let stat = read(&format!("/proc/{pid}/stat"))?;
     // The name, in parentheses, may hold anything; `utime` and `stime` are the 12th and 13th field behind it.
     let mut rest = stat.rsplit(')').next().unwrap_or("").split_whitespace().skip(11);
--- a/crates/scale-bench/src/report.rs
+++ b/crates/scale-bench/src/report.rs
@@ -6,7 +6,7 @@
 use clap::Args;
 use serde::{Deserialize, Serialize};
 
-use crate::error::RigError;
+use crate::error::BenchError;
 
 /// Where figures go.
 #[derive(Args, Debug, Clone, Default)]
@@ -60,7 +60,7 @@
     }
 
     /// Prints the report and writes it to the file, as the user asked.
-    pub fn tell(&self, output: &Output) -> Result<(), RigError> {
+    pub fn print(&self, output: &Output) -> Result<(), BenchError> {
         tell(self, &self.table(), output)
     }
 
@@ -76,18 +76,18 @@
 }
 
 /// Prints a result as JSON or as its table, and writes the JSON to the file that was asked for.
-pub fn tell(result: &impl Serialize, table: &str, output: &Output) -> Result<(), RigError> {
+pub fn tell(result: &impl Serialize, table: &str, output: &Output) -> Result<(), BenchError> {
     let json = serde_json::to_string_pretty(result)
-        .map_err(|e| RigError::System { what: "cannot write the result", source: e.into() })?;
+        .map_err(|e| BenchError::System { what: "cannot write the result", source: e.into() })?;
     if let Some(path) = &output.out {
         write(path, &json)?;
     }
     let text = if output.json { &json } else { table };
     writeln!(std::io::stdout(), "{}", text.trim_end())
-        .map_err(|source| RigError::System { what: "cannot print the result", source })
+        .map_err(|source| BenchError::System { what: "cannot print the result", source })
 }
 
-fn write(path: &Path, text: &str) -> Result<(), RigError> {
+fn write(path: &Path, text: &str) -> Result<(), BenchError> {
     std::fs::write(path, format!("{text}\n"))
-        .map_err(|source| RigError::File { path: path.display().to_string(), source })
+        .map_err(|source| BenchError::File { path: path.display().to_string(), source })
 }
--- a/crates/scale-bench/src/slopes.rs
+++ b/crates/scale-bench/src/slopes.rs
@@ -10,7 +10,7 @@
 use clap::{Args, ValueEnum};
 use serde::{Deserialize, Serialize};
 
-use crate::error::RigError;
+use crate::error::BenchError;
 use crate::report::{tell, Output, Report};
 use fit::{Fitted, NoExponent, Point};
 
@@ -151,12 +151,12 @@
 }
 
 /// Runs the ladder and tells how its figures grow.
-pub fn run(options: Options) -> Result<(), RigError> {
+pub fn run(options: Options) -> Result<(), BenchError> {
     let sizes = options.check()?;
     let program = match &options.program {
         Some(program) => program.clone(),
         None => std::env::current_exe()
-            .map_err(|source| RigError::System { what: "cannot find this program", source })?,
+            .map_err(|source| BenchError::System { what: "cannot find this program", source })?,
     };
     let ends = Instant::now() + Duration::from_secs_f64(options.limit_s);
     let mut runs = Vec::new();
@@ -177,20 +177,20 @@
         }
     }
     let arguments = serde_json::to_value(&options)
-        .map_err(|e| RigError::System { what: "cannot tell the arguments", source: e.into() })?;
+        .map_err(|e| BenchError::System { what: "cannot tell the arguments", source: e.into() })?;
     let figures = growth(&sizes, &runs, options.against);
     let ladder = Ladder { arguments, sizes, runs, figures };
     tell(&ladder, &ladder.table(options.against), &options.output)?;
     let failed = ladder.runs.iter().filter(|r| r.failure.is_some()).count();
     match failed {
         0 => Ok(()),
-        _ => Err(RigError::Argument(format!("{failed} of {} runs failed", ladder.runs.len()))),
+        _ => Err(BenchError::Argument(format!("{failed} of {} runs failed", ladder.runs.len()))),
     }
 }
 
 impl Options {
-    fn check(&self) -> Result<Vec<Size>, RigError> {
-        let bad = |text: String| Err(RigError::Argument(text));
+    fn check(&self) -> Result<Vec<Size>, BenchError> {
+        let bad = |text: String| Err(BenchError::Argument(text));
         if !(0.1..=14_400.0).contains(&self.limit_s) {
             return bad(format!("--limit-s {} is not within 0.1 to 14400", self.limit_s));
         }
@@ -219,18 +219,18 @@
 }
 
 /// Sizes as told in `--sizes`, at least one.
-fn sizes(text: &str) -> Result<Vec<Size>, RigError> {
+fn sizes(text: &str) -> Result<Vec<Size>, BenchError> {
     let number = |word: &str| word.trim().parse::<u32>().ok().filter(|&n| n > 0);
     let size = |word: &str| {
         let (servers, nodes) = word.split_once('/')?;
         Some(Size { servers: number(servers)?, nodes: number(nodes)? })
     };
     let bad =
-        |word: &str| RigError::Argument(format!("--sizes: {word:?} is not servers/nodes, such as 200/300"));
+        |word: &str| BenchError::Argument(format!("--sizes: {word:?} is not servers/nodes, such as 200/300"));
     let sizes: Vec<Size> =
         text.split(',').map(|word| size(word).ok_or_else(|| bad(word))).collect::<Result<_, _>>()?;
     if sizes.len() > SIZES_MOST {
-        return Err(RigError::Argument(format!(
+        return Err(BenchError::Argument(format!(
             "--sizes has {}, over the {SIZES_MOST} allowed",
             sizes.len()
         )));
