--- /dev/null
+++ b/crates/scale-bench/src/decisions/options.rs
@@ -0,0 +1,120 @@
+//! The arguments of `decisions`: their bounds, and the command line of a run in another process.
+
+use std::path::PathBuf;
+
+use clap::Args;
+use serde::Serialize;
+
+use crate::error::BenchError;
+use crate::report::Output;
+
+/// Arguments of `decisions`. The fields are named after the options of the command line.
+#[derive(Args, Debug, Clone, Serialize)]
+pub struct Options {
+    /// App servers on the list
+    #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u32).range(1..=200_000))]
+    pub servers: u32,
+    /// Edge nodes of the fleet, as the settings tell
+    #[arg(long, default_value_t = 300, value_parser = clap::value_parser!(u32).range(1..=100_000))]
+    pub nodes: u32,
+    /// This node's number; by default drawn from the seed
+    #[arg(long)]
+    pub me: Option<u32>,
+    /// Seed of the servers' numbers, the requests and their answers
+    #[arg(long, default_value_t = 1)]
+    pub seed: u64,
+    /// Requests a second
+    #[arg(long, default_value_t = 130.0)]
+    pub rate: f64,
+    /// Share of the requests that are under a quota
+    #[arg(long, default_value_t = 0.5)]
+    pub quota_share: f64,
+    /// Customers under a quota, and as many without one
+    #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u32).range(1..=1_000_000))]
+    pub customers: u32,
+    /// Mean time of an app server's answer, in ms
+    #[arg(long, default_value_t = 50.0)]
+    pub answer_ms: f64,
+    /// List changes of one entry a second
+    #[arg(long, default_value_t = 0.6)]
+    pub changes_per_s: f64,
+    /// Simulated seconds before anything is timed
+    #[arg(long, default_value_t = 2.0)]
+    pub warm_up_s: f64,
+    /// Simulated seconds that are timed
+    #[arg(long, default_value_t = 8.0)]
+    pub run_s: f64,
+    /// Whole lists that are timed: so many unchanged, and so many that replace all servers
+    #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u32).range(1..=1_000))]
+    pub whole_lists: u32,
+    /// A run that takes longer than this, in seconds, fails
+    #[arg(long, default_value_t = 300.0)]
+    pub limit_s: f64,
+    /// Another build of this program, run alternately with this one; the ratio of the figures is told
+    #[arg(long, value_name = "PROGRAM")]
+    pub beside: Option<PathBuf>,
+    /// App servers of the other build's runs; by default the same
+    #[arg(long, requires = "beside", value_parser = clap::value_parser!(u32).range(1..=200_000))]
+    pub beside_servers: Option<u32>,
+    /// Edge nodes of the other build's runs; by default the same
+    #[arg(long, requires = "beside", value_parser = clap::value_parser!(u32).range(1..=100_000))]
+    pub beside_nodes: Option<u32>,
+    /// Rounds of both builds, with a seed each
+    #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u32).range(3..=100))]
+    pub rounds: u32,
+    /// Where the figures go.
+    #[command(flatten)]
+    #[serde(skip)]
+    pub output: Output,
+}
+
+impl Options {
+    /// Checks the bounds that the command line does not check.
+    ///
+    /// # Errors
+    /// If an argument is out of bounds.
+    pub fn check(&self) -> Result<(), BenchError> {
+        check_bounds("rate", self.rate, 0.1, 100_000.0)?;
+        check_bounds("quota-share", self.quota_share, 0.0, 1.0)?;
+        check_bounds("answer-ms", self.answer_ms, 0.1, 1_000.0)?;
+        check_bounds("changes-per-s", self.changes_per_s, 0.0, 1_000.0)?;
+        check_bounds("warm-up-s", self.warm_up_s, 0.0, 600.0)?;
+        check_bounds("run-s", self.run_s, 0.1, 600.0)?;
+        check_bounds("limit-s", self.limit_s, 0.1, 3_600.0)?;
+        match self.me {
+            Some(me) if me >= self.nodes => {
+                Err(BenchError::Argument(format!("--me {me} is no node of {}", self.nodes)))
+            }
+            _ => Ok(()),
+        }
+    }
+
+    /// The command line of one run in another process.
+    pub fn command_line(&self, seed: u64, servers: u32, nodes: u32) -> Vec<String> {
+        let mut line = vec!["decisions".to_string(), "--json".into()];
+        let mut add = |name: &str, value: String| line.extend([format!("--{name}"), value]);
+        add("servers", servers.to_string());
+        add("nodes", nodes.to_string());
+        if let Some(me) = self.me {
+            add("me", me.to_string());
+        }
+        add("seed", seed.to_string());
+        add("rate", self.rate.to_string());
+        add("quota-share", self.quota_share.to_string());
+        add("customers", self.customers.to_string());
+        add("answer-ms", self.answer_ms.to_string());
+        add("changes-per-s", self.changes_per_s.to_string());
+        add("warm-up-s", self.warm_up_s.to_string());
+        add("run-s", self.run_s.to_string());
+        add("whole-lists", self.whole_lists.to_string());
+        add("limit-s", self.limit_s.to_string());
+        line
+    }
+}
+
+fn check_bounds(name: &str, value: f64, least: f64, most: f64) -> Result<(), BenchError> {
+    if (least..=most).contains(&value) {
+        return Ok(());
+    }
+    Err(BenchError::Argument(format!("--{name} {value} is not within {least} to {most}")))
+}
