--- a/crates/scale-bench/src/earlier.rs
+++ b/crates/scale-bench/src/earlier.rs
@@ -1,7 +1,7 @@
-//! `decisions` and `slopes` alone: the root of the build over an earlier version (`earlier/Cargo.toml`).
+//! `decisions` and `slopes` alone: the root of the build over an earlier revision (`earlier/Cargo.toml`).
 #![forbid(unsafe_code)]
-// Of the shared files, some parts serve the other subcommands only.
-#![allow(dead_code)]
+// Parts of the shared files are used by the other subcommands only.
+#![allow(dead_code, unused_imports)]
 
 mod decisions;
 mod error;
@@ -13,6 +13,8 @@
 
 use clap::Parser;
 
+const PROGRAM: &str = "scale-bench-earlier";
+
 /// Measures what the decision module of this version takes alone.
 #[derive(Parser)]
 #[command(version)]
@@ -26,17 +28,11 @@
 fn main() -> ExitCode {
     let cli = match Cli::try_parse() {
         Ok(cli) => cli,
-        Err(error) => return error::told("scale-bench-earlier", &error),
+        Err(error) => return error::report_usage(PROGRAM, &error),
     };
     let result = match cli {
         Cli::Decisions(options) => decisions::run(options),
         Cli::Slopes(options) => slopes::run(options),
     };
-    match result {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(error) => {
-            eprintln!("scale-bench-earlier: {error}");
-            ExitCode::FAILURE
-        }
-    }
+    error::report_result(PROGRAM, result)
 }
--- a/crates/scale-bench/src/error.rs
+++ b/crates/scale-bench/src/error.rs
@@ -4,6 +4,9 @@
 
 use clap::error::ErrorKind;
 
+/// The exit code for arguments that can't be read.
+const USAGE_EXIT_CODE: u8 = 2;
+
 /// Why a run could not be made; its text is the one line that the user sees.
 #[derive(Debug, thiserror::Error)]
 pub enum BenchError {
@@ -31,13 +34,24 @@
     },
 }
 
-/// Help and version as they are; of what is wrong with a program's arguments the one line that says it.
-pub fn told(program: &str, error: &clap::Error) -> ExitCode {
+/// Prints help and version as they are, and of an error in the arguments the one line that describes it.
+pub fn report_usage(program: &str, error: &clap::Error) -> ExitCode {
     if matches!(error.kind(), ErrorKind::DisplayHelp | ErrorKind::DisplayVersion) {
         return error.print().map_or(ExitCode::FAILURE, |()| ExitCode::SUCCESS);
     }
     let text = error.to_string();
     let line = text.lines().next().unwrap_or_default();
     eprintln!("{program}: {}", line.strip_prefix("error: ").unwrap_or(line));
-    ExitCode::from(2)
+    ExitCode::from(USAGE_EXIT_CODE)
+}
+
+/// Prints why a run failed, in one line, and returns the program's exit code.
+pub fn report_result(program: &str, result: Result<(), BenchError>) -> ExitCode {
+    match result {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("{program}: {error}");
+            ExitCode::FAILURE
+        }
+    }
 }
--- /dev/null
+++ b/crates/scale-bench/src/fakes/counter_service.rs
@@ -0,0 +1,237 @@
+//! A fake counter service: named counters with a lifetime, over RESP2.
+
+use std::collections::HashMap;
+use std::io;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use tokio::io::{AsyncWrite, AsyncWriteExt, BufReader};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{mpsc, watch, Semaphore};
+use tokio::time::{sleep_until, Instant};
+
+use super::listener::{accept, listen_on_loopback};
+use super::lock;
+use super::resp::{parse, read_call};
+use super::traffic::{ByteCounts, MeteredStream, Traffic};
+
+/// The longest lifetime of a counter.
+const MAX_LIFETIME_MS: u64 = 60_000;
+/// The longest name of a counter, in bytes.
+const MAX_NAME_LENGTH: usize = 64;
+/// The largest amount of a call.
+const MAX_AMOUNT: f64 = 1e9;
+/// Further connections are closed at once.
+const MAX_CONNECTIONS: usize = 32;
+/// Replies that may wait on a connection; no more calls are read from it until they are written.
+const MAX_PENDING_REPLIES: usize = 10_000;
+/// How much of a second's calls may come at once.
+const BURST_SECONDS: f64 = 0.1;
+/// Expired counters are removed when there are at least this many counters.
+const MIN_SWEEP_SIZE: usize = 10_000;
+
+/// How the service serves.
+#[derive(Debug, Clone, Copy)]
+pub struct CounterCapacity {
+    /// Calls that it takes a second; further ones get `-BUSY`.
+    pub calls_per_second: f64,
+    /// How long each reply takes.
+    pub delay: Duration,
+}
+
+/// Calls so far.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct CallCounts {
+    /// All calls.
+    pub calls: u64,
+    /// Those that were rejected with `-BUSY`.
+    pub busy: u64,
+}
+
+struct Counter {
+    total: f64,
+    expires_at: Instant,
+}
+
+struct Counters {
+    by_name: HashMap<Vec<u8>, Counter>,
+    sweep_size: usize,
+    /// Calls that may come at once, as of `refilled_at`.
+    tokens: f64,
+    refilled_at: Instant,
+}
+
+/// A reply and when to send it.
+struct Reply {
+    send_at: Instant,
+    text: Vec<u8>,
+}
+
+/// The counter service.
+pub struct CounterService {
+    capacity: CounterCapacity,
+    counters: Mutex<Counters>,
+    silent: watch::Sender<bool>,
+    traffic: Arc<Traffic>,
+    connections: Arc<Semaphore>,
+    calls: AtomicU64,
+    busy: AtomicU64,
+}
+
+impl CounterService {
+    /// Starts a service on a free port; it runs as long as the runtime.
+    ///
+    /// # Errors
+    /// If it can't listen.
+    pub async fn start(capacity: CounterCapacity) -> io::Result<(Arc<Self>, SocketAddr)> {
+        let listener = listen_on_loopback().await?;
+        let address = listener.local_addr()?;
+        let service = Arc::new(CounterService {
+            capacity,
+            counters: Mutex::new(Counters::new(&capacity)),
+            silent: watch::channel(false).0,
+            traffic: Arc::default(),
+            connections: Arc::new(Semaphore::new(MAX_CONNECTIONS)),
+            calls: AtomicU64::new(0),
+            busy: AtomicU64::new(0),
+        });
+        tokio::spawn(service.clone().serve(listener));
+        Ok((service, address))
+    }
+
+    /// The bytes that it has received and sent.
+    pub fn byte_counts(&self) -> ByteCounts {
+        self.traffic.byte_counts()
+    }
+
+    /// The calls that have come.
+    pub fn call_counts(&self) -> CallCounts {
+        CallCounts { calls: self.calls.load(Ordering::Relaxed), busy: self.busy.load(Ordering::Relaxed) }
+    }
+
+    /// Sets whether it withholds its replies; those withheld are sent once it is not silent any more.
+    pub fn set_silent(&self, silent: bool) {
+        self.silent.send_replace(silent);
+    }
+
+    async fn serve(self: Arc<Self>, listener: TcpListener) {
+        loop {
+            let stream = accept(&listener).await;
+            let Ok(permit) = self.connections.clone().try_acquire_owned() else { continue };
+            let service = self.clone();
+            tokio::spawn(async move {
+                let _permit = permit;
+                service.serve_connection(stream).await;
+            });
+        }
+    }
+
+    async fn serve_connection(&self, stream: TcpStream) {
+        let stream = MeteredStream { stream, traffic: self.traffic.clone() };
+        let (read_half, write_half) = tokio::io::split(stream);
+        let (replies, pending) = mpsc::channel(MAX_PENDING_REPLIES);
+        let writer = tokio::spawn(write_replies(write_half, pending, self.silent.subscribe()));
+        let mut reader = BufReader::new(read_half);
+        while let Ok(Some(words)) = read_call(&mut reader).await {
+            if replies.send(self.reply(&words)).await.is_err() {
+                break;
+            }
+        }
+        writer.abort();
+    }
+
+    fn reply(&self, words: &[Vec<u8>]) -> Reply {
+        let now = Instant::now();
+        let command = words.first().map(|word| word.to_ascii_uppercase()).unwrap_or_default();
+        let at_once = |text: &[u8]| Reply { send_at: now, text: text.to_vec() };
+        match (command.as_slice(), words.len()) {
+            (b"PING", 1) => at_once(b"+PONG\r\n"),
+            (b"CLIENT" | b"SELECT", _) => at_once(b"+OK\r\n"),
+            (b"INCRTTL", 4) => {
+                self.calls.fetch_add(1, Ordering::Relaxed);
+                let text = self.increment(&words[1], &words[2], &words[3], now);
+                Reply { send_at: now + self.capacity.delay, text }
+            }
+            _ => at_once(b"-ERR no such call\r\n"),
+        }
+    }
+
+    fn increment(&self, name: &[u8], amount: &[u8], lifetime: &[u8], now: Instant) -> Vec<u8> {
+        let amount = parse::<f64>(amount).filter(|amount| amount.is_finite() && amount.abs() <= MAX_AMOUNT);
+        let lifetime_ms = parse::<u64>(lifetime).filter(|lifetime_ms| *lifetime_ms > 0);
+        let (Some(amount), Some(lifetime_ms), 1..=MAX_NAME_LENGTH) = (amount, lifetime_ms, name.len()) else {
+            return b"-ERR a name, an amount or a life out of bounds\r\n".to_vec();
+        };
+        let mut counters = lock(&self.counters);
+        if !counters.take_token(&self.capacity, now) {
+            self.busy.fetch_add(1, Ordering::Relaxed);
+            return b"-BUSY\r\n".to_vec();
+        }
+        let lifetime = Duration::from_millis(lifetime_ms.min(MAX_LIFETIME_MS));
+        let total = counters.add(name, amount, lifetime, now).to_string();
+        format!("${}\r\n{total}\r\n", total.len()).into_bytes()
+    }
+}
+
+impl Counters {
+    fn new(capacity: &CounterCapacity) -> Self {
+        Counters {
+            by_name: HashMap::new(),
+            sweep_size: MIN_SWEEP_SIZE,
+            tokens: capacity.burst(),
+            refilled_at: Instant::now(),
+        }
+    }
+
+    /// Takes the token of one call; false if there is none.
+    fn take_token(&mut self, capacity: &CounterCapacity, now: Instant) -> bool {
+        let refill = now.duration_since(self.refilled_at).as_secs_f64() * capacity.calls_per_second;
+        self.tokens = (self.tokens + refill).min(capacity.burst());
+        self.refilled_at = now;
+        if self.tokens < 1.0 {
+            return false;
+        }
+        self.tokens -= 1.0;
+        true
+    }
+
+    /// Adds to a counter, which starts at 0 if it does not exist or has expired, and returns its total.
+    fn add(&mut self, name: &[u8], amount: f64, lifetime: Duration, now: Instant) -> f64 {
+        if self.by_name.len() >= self.sweep_size {
+            self.by_name.retain(|_, counter| counter.expires_at > now);
+            self.sweep_size = (self.by_name.len() * 2).max(MIN_SWEEP_SIZE);
+        }
+        let new_counter = || Counter { total: 0.0, expires_at: now + lifetime };
+        let counter = self.by_name.entry(name.to_vec()).or_insert_with(new_counter);
+        if counter.expires_at <= now {
+            *counter = new_counter();
+        }
+        counter.total += amount;
+        counter.total
+    }
+}
+
+impl CounterCapacity {
+    /// Calls that may come at once.
+    fn burst(&self) -> f64 {
+        (self.calls_per_second * BURST_SECONDS).max(1.0)
+    }
+}
+
+/// Writes each reply when it is due and the service is not silent, in the order of the calls.
+async fn write_replies(
+    mut connection: impl AsyncWrite + Unpin,
+    mut pending: mpsc::Receiver<Reply>,
+    mut silent: watch::Receiver<bool>,
+) {
+    while let Some(reply) = pending.recv().await {
+        sleep_until(reply.send_at).await;
+        // This fails only once the service has ended.
+        let _ = silent.wait_for(|silent| !silent).await;
+        if connection.write_all(&reply.text).await.is_err() {
+            return;
+        }
+    }
+}
--- a/crates/scale-bench/src/main.rs
+++ b/crates/scale-bench/src/main.rs
@@ -1,12 +1,14 @@
-//! The command line of the scale rig.
+//! The command line of `scale-bench`.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use scale_bench::error::told;
+use scale_bench::error::{report_result, report_usage};
 use scale_bench::{decisions, fleet, node, slopes};
 
+const PROGRAM: &str = "scale-bench";
+
 /// Measures how the edge node's cost, memory, traffic and service grow with the fleet.
 ///
 /// Everything runs on loopback addresses, within bounds of count and time, and ends by itself.
@@ -32,7 +34,7 @@
 fn main() -> ExitCode {
     let cli = match Cli::try_parse() {
         Ok(cli) => cli,
-        Err(error) => return told("scale-bench", &error),
+        Err(error) => return report_usage(PROGRAM, &error),
     };
     let result = match cli.command {
         Command::Node(options) => node::run(options),
@@ -40,11 +42,5 @@
         Command::Decisions(options) => decisions::run(options),
         Command::Slopes(options) => slopes::run(options),
     };
-    match result {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(error) => {
-            eprintln!("scale-bench: {error}");
-            ExitCode::FAILURE
-        }
-    }
+    report_result(PROGRAM, result)
 }
--- a/crates/scale-bench/src/memory.rs
+++ b/crates/scale-bench/src/memory.rs
@@ -1,4 +1,4 @@
-//! What memory a process holds, as the machine tells.
+//! What memory a process holds, as the kernel reports it.
 
 use std::io;
 
@@ -14,10 +14,10 @@
 }
 
 impl Memory {
-    /// Of the process of this number, or `self`; none if that has ended and is not waited for yet.
+    /// Reads the memory of the process with this id, or of `self`; none if it has ended and is not waited for yet.
     ///
     /// # Errors
-    /// If the machine has no such process.
+    /// If there is no such process.
     pub fn of(process: &str) -> Result<Option<Memory>, BenchError> {
         let path = path(process);
         let status = std::fs::read_to_string(&path).map_err(|source| BenchError::File { path, source })?;
@@ -29,10 +29,10 @@
         Ok(bytes("VmRSS:").zip(bytes("VmHWM:")).map(|(resident, peak)| Memory { resident, peak }))
     }
 
-    /// Of this process.
+    /// Reads the memory of this process.
     ///
     /// # Errors
-    /// If the machine does not tell.
+    /// If the kernel does not report it.
     pub fn own() -> Result<Memory, BenchError> {
         let source = io::Error::new(io::ErrorKind::InvalidData, "it tells no resident size");
         Memory::of("self")?.ok_or_else(|| BenchError::File { path: path("self"), source })
--- a/crates/scale-bench/src/report.rs
+++ b/crates/scale-bench/src/report.rs
@@ -1,4 +1,4 @@
-//! How a run's figures are told: JSON for files, a table for people.
+//! How a run's figures are printed: JSON for files, a table for people.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -56,29 +56,37 @@
 
     /// A figure's value.
     pub fn get(&self, name: &str) -> Option<f64> {
-        self.figures.iter().find(|f| f.name == name).map(|f| f.value)
+        self.figures.iter().find(|figure| figure.name == name).map(|figure| figure.value)
     }
 
-    /// Prints the report and writes it to the file, as the user asked.
+    /// Prints the report and writes it to the file, as the arguments say.
+    ///
+    /// # Errors
+    /// If it can't be printed or written.
     pub fn print(&self, output: &Output) -> Result<(), BenchError> {
-        tell(self, &self.table(), output)
+        print_result(self, &self.table(), output)
     }
 
     fn table(&self) -> String {
-        let width = self.figures.iter().map(|f| f.name.len()).max().unwrap_or(0);
+        let width = self.figures.iter().map(|figure| figure.name.len()).max().unwrap_or(0);
         let mut text = format!("{} {}\n", self.command, self.arguments);
-        for f in &self.figures {
-            text += &format!("  {:width$}  {:>14.4} {}\n", f.name, f.value, f.unit);
+        for figure in &self.figures {
+            text += &format!("  {:width$}  {:>14.4} {}\n", figure.name, figure.value, figure.unit);
+        }
+        for note in &self.notes {
+            text += &format!("  note: {note}\n");
         }
-        self.notes.iter().for_each(|note| text += &format!("  note: {note}\n"));
         text
     }
 }
 
-/// Prints a result as JSON or as its table, and writes the JSON to the file that was asked for.
-pub fn tell(result: &impl Serialize, table: &str, output: &Output) -> Result<(), BenchError> {
+/// Prints a result as JSON or as its table, and writes the JSON to a file, as the arguments say.
+///
+/// # Errors
+/// If it can't be printed or written.
+pub fn print_result(result: &impl Serialize, table: &str, output: &Output) -> Result<(), BenchError> {
     let json = serde_json::to_string_pretty(result)
-        .map_err(|e| BenchError::System { what: "cannot write the result", source: e.into() })?;
+        .map_err(|error| BenchError::System { what: "cannot write the result", source: error.into() })?;
     if let Some(path) = &output.out {
         write(path, &json)?;
     }
--- a/crates/scale-bench/src/slopes/child.rs
+++ b/crates/scale-bench/src/slopes/child.rs
@@ -1,22 +1,24 @@
-//! A run of the rig in a process of its own.
+//! A run in a process of its own.
 
 use std::ffi::OsStr;
+use std::fmt::Display;
 use std::fs::File;
-use std::io::{Read, Seek};
+use std::io::{self, Read, Seek};
 use std::path::Path;
-use std::process::{Child, Command, Stdio};
+use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
 use crate::report::Report;
 
-const POLL: Duration = Duration::from_millis(10);
-/// The most that is read of what a child prints.
-const MOST: u64 = 16 << 20;
+/// Pause between checks whether a child has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The most that is read of a child's output, in bytes.
+const MAX_OUTPUT: u64 = 16 << 20;
 
-/// A child that never outlives its owner.
-struct Owned(Child);
+/// A child that is killed when dropped.
+struct OwnedChild(Child);
 
-impl Drop for Owned {
+impl Drop for OwnedChild {
     fn drop(&mut self) {
         // It may have ended already: then there is nothing to kill and nothing to wait for.
         let _ = self.0.kill();
@@ -24,38 +26,68 @@
     }
 }
 
-/// Runs the program to its end and reads its report; in one line, why there is none.
-pub fn run(program: &Path, args: &[impl AsRef<OsStr>], ends: Instant) -> Result<Report, String> {
+/// Where a child writes. Files, because a pipe that nobody reads fills and stops the child.
+struct OutputFiles {
+    stdout: File,
+    stderr: File,
+}
+
+/// Runs the program to its end and reads its report.
+///
+/// # Errors
+/// If there is no report: why, in one line.
+pub fn run(
+    program: &Path,
+    arguments: &[impl AsRef<OsStr>],
+    time_limit_at: Instant,
+) -> Result<Report, String> {
     let name = program.display();
-    let fails = |what: &str, e: &dyn std::fmt::Display| format!("{name}: {what}: {e}");
-    // Danger: a pipe that nobody reads fills and stops the child, hence files.
-    let mut out = tempfile::tempfile().map_err(|e| fails("no file for its output", &e))?;
-    let mut err = tempfile::tempfile().map_err(|e| fails("no file for its output", &e))?;
-    let pipe = |file: &File| file.try_clone().map(Stdio::from);
+    let failed = |what: &str, error: &dyn Display| format!("{name}: {what}: {error}");
+    let mut files = OutputFiles::create().map_err(|error| failed("no file for its output", &error))?;
     let mut command = Command::new(program);
-    command.args(args).stdin(Stdio::null());
-    command.stdout(pipe(&out).map_err(|e| fails("no file for its output", &e))?);
-    command.stderr(pipe(&err).map_err(|e| fails("no file for its output", &e))?);
-    let mut child = Owned(command.spawn().map_err(|e| fails("cannot be run", &e))?);
-    let status = loop {
-        match child.0.try_wait().map_err(|e| fails("cannot be waited for", &e))? {
-            Some(status) => break status,
-            None if Instant::now() >= ends => return Err(format!("{name}: ended by the time limit")),
-            None => std::thread::sleep(POLL),
-        }
-    };
+    command.args(arguments).stdin(Stdio::null());
+    files.attach(&mut command).map_err(|error| failed("no file for its output", &error))?;
+    let mut child = OwnedChild(command.spawn().map_err(|error| failed("cannot be run", &error))?);
+    let ended = wait_until(&mut child, time_limit_at);
+    let status = ended.map_err(|error| failed("cannot be waited for", &error))?;
+    let Some(status) = status else { return Err(format!("{name}: ended by the time limit")) };
     if !status.success() {
-        let said = text(&mut err).unwrap_or_default();
-        let last = said.lines().rev().find(|line| !line.trim().is_empty()).unwrap_or("no word").to_string();
-        return Err(format!("{name}: {status}: {last}"));
+        let error_output = read_back(&mut files.stderr).unwrap_or_default();
+        let last_line = error_output.lines().rev().find(|line| !line.trim().is_empty());
+        return Err(format!("{name}: {status}: {}", last_line.unwrap_or("no word")));
+    }
+    let output = read_back(&mut files.stdout).map_err(|error| failed("its output", &error))?;
+    serde_json::from_str(&output).map_err(|error| failed("its output is no report", &error))
+}
+
+impl OutputFiles {
+    fn create() -> io::Result<Self> {
+        Ok(OutputFiles { stdout: tempfile::tempfile()?, stderr: tempfile::tempfile()? })
+    }
+
+    fn attach(&self, command: &mut Command) -> io::Result<()> {
+        command.stdout(self.stdout.try_clone()?);
+        command.stderr(self.stderr.try_clone()?);
+        Ok(())
+    }
+}
+
+/// Waits for the child's end; `None` if it has not ended by then.
+fn wait_until(child: &mut OwnedChild, time_limit_at: Instant) -> io::Result<Option<ExitStatus>> {
+    loop {
+        if let Some(status) = child.0.try_wait()? {
+            return Ok(Some(status));
+        }
+        if Instant::now() >= time_limit_at {
+            return Ok(None);
+        }
+        std::thread::sleep(POLL_INTERVAL);
     }
-    let text = text(&mut out).map_err(|e| fails("its output", &e))?;
-    serde_json::from_str(&text).map_err(|e| fails("its output is no report", &e))
 }
 
-fn text(file: &mut File) -> std::io::Result<String> {
+fn read_back(file: &mut File) -> io::Result<String> {
     let mut text = String::new();
     file.rewind()?;
-    file.take(MOST).read_to_string(&mut text)?;
+    file.take(MAX_OUTPUT).read_to_string(&mut text)?;
     Ok(text)
 }
--- a/crates/scale-bench/src/slopes/fit.rs
+++ b/crates/scale-bench/src/slopes/fit.rs
@@ -18,7 +18,7 @@
 pub struct Point {
     /// Which run of the ladder, from 0.
     pub run: u32,
-    /// The size against which growth is told.
+    /// The size that growth is measured against.
     pub size: f64,
     /// The figure's value.
     pub value: f64,
@@ -34,37 +34,64 @@
     OneSize,
 }
 
-/// The figure's slope, in its unit per server or node; none if it was measured at one size alone.
+/// A point in the plane in which a line is fitted.
+#[derive(Clone, Copy)]
+struct Coordinates {
+    x: f64,
+    y: f64,
+}
+
+/// The figure's slope, in its unit per endpoint or node; none if it was measured at one size alone.
 pub fn slope(points: &[Point]) -> Option<Fitted> {
-    over_runs(points, |p| (p.size, p.value))
+    fit_with_spread(points, |point| Coordinates { x: point.size, y: point.value })
 }
 
 /// The exponent `b` of `value = a * size^b`: 0 does not grow, 1 grows as the fleet does.
+///
+/// # Errors
+/// If the points have none.
 pub fn exponent(points: &[Point]) -> Result<Fitted, NoExponent> {
-    if points.iter().any(|p| p.value <= 0.0) {
+    if points.iter().any(|point| point.value <= 0.0) {
         return Err(NoExponent::NotPositive);
     }
-    over_runs(points, |p| (p.size.ln(), p.value.ln())).ok_or(NoExponent::OneSize)
+    let logarithms = |point: &Point| Coordinates { x: point.size.ln(), y: point.value.ln() };
+    fit_with_spread(points, logarithms).ok_or(NoExponent::OneSize)
 }
 
-fn over_runs(points: &[Point], place: impl Fn(&Point) -> (f64, f64)) -> Option<Fitted> {
-    let value = steepness(points.iter().map(&place))?;
-    let mut runs: Vec<u32> = points.iter().map(|p| p.run).collect();
+/// Fits a line through all points, and one through the points of each run.
+fn fit_with_spread(points: &[Point], coordinates: impl Fn(&Point) -> Coordinates) -> Option<Fitted> {
+    let all: Vec<Coordinates> = points.iter().map(&coordinates).collect();
+    let value = steepness(&all)?;
+    let mut runs: Vec<u32> = points.iter().map(|point| point.run).collect();
     runs.sort_unstable();
     runs.dedup();
-    // A run of which only one size is left says nothing by itself.
-    let alone = |run| steepness(points.iter().filter(|p| p.run == run).map(&place));
-    let (least, most) =
-        runs.into_iter().filter_map(alone).fold((value, value), |(l, m), v| (l.min(v), m.max(v)));
-    Some(Fitted { value, least, most })
+    let mut fitted = Fitted { value, least: value, most: value };
+    for run in runs {
+        let of_run = points.iter().filter(|point| point.run == run);
+        let of_run: Vec<Coordinates> = of_run.map(&coordinates).collect();
+        // A run of which only one size is left has no steepness of its own.
+        if let Some(alone) = steepness(&of_run) {
+            fitted.least = fitted.least.min(alone);
+            fitted.most = fitted.most.max(alone);
+        }
+    }
+    Some(fitted)
 }
 
-/// The steepness of the line through the points that has the least squares.
-fn steepness(points: impl Iterator<Item = (f64, f64)> + Clone) -> Option<f64> {
-    let count = points.clone().count() as f64;
-    let (x, y) = points.clone().fold((0.0, 0.0), |(x, y), p| (x + p.0 / count, y + p.1 / count));
-    let (square, product) =
-        points.fold((0.0, 0.0), |(s, p), (a, b)| (s + (a - x).powi(2), p + (a - x) * (b - y)));
-    // Sizes are whole numbers, so any two that differ are far apart beside rounding.
+/// The steepness of the line with the least squares through the points.
+fn steepness(points: &[Coordinates]) -> Option<f64> {
+    let count = points.len() as f64;
+    let mut mean = Coordinates { x: 0.0, y: 0.0 };
+    for point in points {
+        mean.x += point.x / count;
+        mean.y += point.y / count;
+    }
+    let mut square = 0.0;
+    let mut product = 0.0;
+    for point in points {
+        square += (point.x - mean.x).powi(2);
+        product += (point.x - mean.x) * (point.y - mean.y);
+    }
+    // Sizes are whole numbers, so any two that differ are far apart compared with rounding errors.
     (square > 1e-9).then(|| product / square).filter(|steepness| steepness.is_finite())
 }
--- a/crates/scale-bench/tests/fleet.rs
+++ b/crates/scale-bench/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Hollow fleets of some dozens. The simulated clock and one seed give the same verdict every time.
+//! Fleets of some dozens of hollow nodes. The simulated clock and one seed give the same result every time.
 
 use clap::Parser;
 use scale_bench::fleet::{measure, Options};
@@ -10,10 +10,15 @@
     options: Options,
 }
 
-/// A run with the arguments of the command line.
+/// Reads the arguments of `fleet`.
+fn parse(arguments: &str) -> Result<Options, clap::Error> {
+    let words = ["fleet"].into_iter().chain(arguments.split_whitespace());
+    Cli::try_parse_from(words).map(|cli| cli.options)
+}
+
+/// Makes a run and returns its report without what the machine took for it.
 fn run(arguments: &str) -> Report {
-    let words = ["fleet", "--simulated-only"].into_iter().chain(arguments.split_whitespace());
-    let options = Cli::try_parse_from(words).expect("arguments that parse").options;
+    let options = parse(&format!("--simulated-only {arguments}")).expect("arguments that parse");
     measure(&options.scenario).expect("a run")
 }
 
@@ -21,100 +26,118 @@
     report.get(name).unwrap_or_else(|| panic!("no figure {name}"))
 }
 
-/// Some dozens of nodes at a rate that a debug build bears.
+/// Some dozens of nodes at a rate that a debug build can simulate.
 const SMALL: &str = "--nodes 36 --servers 48 --rate 720 --work-ms 60 --cores 2 --warm-ms 4000";
 
+/// All zones are equally far from each other.
+const EQUAL_DELAYS: &str = "--delay-region-us 150 --delay-far-us 150 --warm-ms 4000";
+
 #[test]
-fn the_same_seed_repeats_to_the_byte_and_another_does_not() {
-    let run = |seed: u32| {
+fn same_seed_repeats_to_the_byte_and_another_does_not() {
+    let run_with_seed = |seed: u32| {
         let failure = "--fail restart-tenth --fail-at-ms 2000";
-        let report = run(&format!("{SMALL} --measured-ms 6000 {failure} --seed {seed}"));
-        serde_json::to_string_pretty(&report).expect("a report")
+        run(&format!("{SMALL} --measured-ms 6000 {failure} --seed {seed}"))
     };
-    let first = run(1);
-    assert_eq!(first, run(1));
-    let figures = |text: &str| serde_json::from_str::<Report>(text).expect("a report").figures;
-    assert_ne!(figures(&first), figures(&run(2)));
+    let to_text = |report: &Report| serde_json::to_string_pretty(report).expect("a text");
+    let first = run_with_seed(1);
+    assert_eq!(to_text(&first), to_text(&run_with_seed(1)));
+    assert_ne!(first.figures, run_with_seed(2).figures);
 }
 
 #[test]
-fn no_cold_server_falls_through_a_release_and_one_does_where_it_bears_too_little() {
+fn release_overloads_no_new_endpoint_unless_endpoints_fail_under_a_twentieth_of_their_capacity() {
     let release = "--measured-ms 14000 --fail release --fail-at-ms 2000 --fail-for-ms 5000 --release-steps 5";
-    let r = run(&format!("{SMALL} {release}"));
-    assert_eq!(get(&r, "cold_started"), 24.0);
-    assert_eq!(get(&r, "cold_fell"), 0.0);
-    assert!(get(&r, "service") > 0.97, "{}", get(&r, "service"));
-    // The model can fail: servers that bear a twentieth of what they can do fall under the same sends.
-    let r = run(&format!("{SMALL} {release} --fall-multiple 0.05"));
-    assert!(get(&r, "cold_fell") > 0.0);
+    let report = run(&format!("{SMALL} {release}"));
+    assert_eq!(get(&report, "cold_started"), 24.0);
+    assert_eq!(get(&report, "cold_fell"), 0.0);
+    assert!(get(&report, "service") > 0.97, "{}", get(&report, "service"));
+    // The check can fail: endpoints that fail under a twentieth of their capacity do so under the same load.
+    let report = run(&format!("{SMALL} {release} --fall-multiple 0.05"));
+    assert!(get(&report, "cold_fell") > 0.0);
 }
 
-/// At 96 app servers and 48 nodes each subset is 48 servers, and each server is in 24. Every request takes the same
-/// time, a little more than a node takes for granted of a server that it has not met yet: so each node tries all
-/// of its subset, ejects none, and what it met is its subset.
+/// At 96 endpoints and 48 nodes each subset has 48 endpoints, and each endpoint is in 24 subsets. Every request takes
+/// the same time, a little more than a node assumes of an endpoint that it has not used yet: so each node tries its
+/// whole subset and ejects none, and the endpoints that it used are its subset.
 #[test]
-fn each_server_is_in_as_many_subsets_as_any_other_also_with_a_tenth_of_the_nodes_down() {
+fn each_endpoint_is_in_equally_many_subsets_also_with_a_tenth_of_the_nodes_down() {
     let sizes = "--nodes 48 --servers 96 --rate 1440 --work-ms 120 --work-spread 0 --cores 8";
-    let flat = "--delay-region-us 150 --delay-far-us 150 --warm-ms 4000 --measured-ms 10000";
-    let all = run(&format!("{sizes} {flat}"));
+    let all_up = run(&format!("{sizes} {EQUAL_DELAYS} --measured-ms 10000"));
     for figure in ["nodes_per_server_least", "nodes_per_server_most"] {
-        assert_eq!(get(&all, figure), 24.0, "{figure}");
+        assert_eq!(get(&all_up, figure), 24.0, "{figure}");
     }
-    assert_eq!(get(&all, "servers_per_node_least"), 48.0);
-    // Five of the 48 are down for the rest of the run: no server loses more than these, and none gains.
-    let down = "--fail restart-tenth --fail-at-ms 1000 --boot-ms 60000";
-    let some = run(&format!("{sizes} {flat} {down}"));
-    assert_eq!(get(&some, "servers_per_node_least"), 0.0);
-    let (least, most) = (get(&some, "nodes_per_server_least"), get(&some, "nodes_per_server_most"));
+    assert_eq!(get(&all_up, "servers_per_node_least"), 48.0);
+    // Five of the 48 are down for the rest of the run: no endpoint loses more nodes than these, and none gains any.
+    let failure = "--fail restart-tenth --fail-at-ms 1000 --boot-ms 60000";
+    let some_down = run(&format!("{sizes} {EQUAL_DELAYS} --measured-ms 10000 {failure}"));
+    assert_eq!(get(&some_down, "servers_per_node_least"), 0.0);
+    let least = get(&some_down, "nodes_per_server_least");
+    let most = get(&some_down, "nodes_per_server_most");
     assert!(least >= 19.0 && most <= 24.0, "{least} to {most}");
-    assert_eq!(get(&some, "nodes_per_server"), 21.5);
+    assert_eq!(get(&some_down, "nodes_per_server"), 21.5);
 }
 
-/// Each of the 96 app servers is in 24 subsets of 48; with half of the nodes down it is in 12 in the mean. They are
-/// drawn by lot, and a stretch of the ring may lose most of its nodes, but none is left without.
+/// With half of the 48 nodes down each of the 96 endpoints is in 12 subsets in the mean. The nodes are drawn at
+/// random, so a part of the ring may lose most of its nodes, but no endpoint is left without any.
+const HALF_DOWN: &str = "--nodes 48 --servers 96 --rate 720 --work-ms 120 --work-spread 0 --cores 8 \
+                         --measured-ms 12000 --fail half-down --fail-at-ms 1000 --fail-for-ms 60000";
+
 #[test]
-fn with_half_of_the_nodes_down_each_server_still_has_nodes_and_no_client_waits_for_a_dead_one() {
-    let sizes = "--nodes 48 --servers 96 --rate 720 --work-ms 120 --work-spread 0 --cores 8";
-    let flat = "--delay-region-us 150 --delay-far-us 150 --warm-ms 4000 --measured-ms 12000";
-    let down = "--fail half-down --fail-at-ms 1000 --fail-for-ms 60000";
-    // The front sees at once who is down: only what the dead held is lost.
-    let r = run(&format!("{sizes} {flat} {down} --front-notice-ms 0"));
-    assert_eq!(get(&r, "nodes_per_server"), 12.0);
-    let (least, most) = (get(&r, "nodes_per_server_least"), get(&r, "nodes_per_server_most"));
+fn with_half_of_the_nodes_down_each_endpoint_still_has_nodes() {
+    let report = run(&format!("{HALF_DOWN} {EQUAL_DELAYS} --front-notice-ms 0"));
+    assert_eq!(get(&report, "nodes_per_server"), 12.0);
+    let least = get(&report, "nodes_per_server_least");
+    let most = get(&report, "nodes_per_server_most");
     assert!(least >= 6.0 && most <= 18.0, "{least} to {most}");
-    let nodes = (get(&r, "servers_per_node_least"), get(&r, "servers_per_node_most"));
-    assert_eq!(nodes, (0.0, 48.0));
-    let lost_at_once = get(&r, "lost_tries");
+    assert_eq!(get(&report, "servers_per_node_least"), 0.0);
+    assert_eq!(get(&report, "servers_per_node_most"), 48.0);
+}
+
+#[test]
+fn tries_sent_to_vanished_nodes_are_lost_until_the_front_notices() {
+    // The front notices at once: only what the vanished nodes held is lost.
+    let noticed_at_once = run(&format!("{HALF_DOWN} {EQUAL_DELAYS} --front-notice-ms 0"));
+    let lost_at_once = get(&noticed_at_once, "lost_tries");
     assert!(lost_at_once > 0.0);
-    // A customer whose whole set is down has nowhere to go; with a set of all nodes none is turned away so.
-    assert!(get(&r, "no_node") > 0.1, "{}", get(&r, "no_node"));
-    let wide = run(&format!("{sizes} {flat} {down} --front-notice-ms 0 --spread 48"));
-    assert_eq!(get(&wide, "no_node"), 0.0);
-    // Until the front sees it, each try that goes to a dead node is lost.
-    let late = run(&format!("{sizes} {flat} {down}"));
-    assert!(get(&late, "lost_tries") > 4.0 * lost_at_once, "{} of {lost_at_once}", get(&late, "lost_tries"));
+    let noticed_late = run(&format!("{HALF_DOWN} {EQUAL_DELAYS}"));
+    let lost = get(&noticed_late, "lost_tries");
+    assert!(lost > 4.0 * lost_at_once, "{lost} of {lost_at_once}");
 }
 
 #[test]
-fn nodes_that_vanished_come_back_and_serve_as_before() {
-    let r =
-        run(&format!("{SMALL} --measured-ms 16000 --fail half-down --fail-at-ms 2000 --fail-for-ms 4000"));
-    assert_eq!(get(&r, "well_again"), 1.0);
-    let after = get(&r, "well_again_after");
-    assert!((4.0..=8.0).contains(&after), "{after} s, of which 4 down and 1.5 at most to start");
-    assert!(get(&r, "servers_per_node_least") > 0.0);
-    assert_eq!(get(&r, "cold_started"), 0.0);
+fn account_has_no_node_only_if_all_its_nodes_are_down() {
+    let two_nodes = run(&format!("{HALF_DOWN} {EQUAL_DELAYS} --front-notice-ms 0"));
+    assert!(get(&two_nodes, "no_node") > 0.1, "{}", get(&two_nodes, "no_node"));
+    let all_nodes = run(&format!("{HALF_DOWN} {EQUAL_DELAYS} --front-notice-ms 0 --spread 48"));
+    assert_eq!(get(&all_nodes, "no_node"), 0.0);
 }
 
 #[test]
-fn a_silent_counter_is_survived_and_a_small_one_shows() {
+fn vanished_nodes_come_back_and_serve_as_before() {
+    let failure = "--fail half-down --fail-at-ms 2000 --fail-for-ms 4000";
+    let report = run(&format!("{SMALL} --measured-ms 16000 {failure}"));
+    assert_eq!(get(&report, "well_again"), 1.0);
+    let recovered_after = get(&report, "well_again_after");
+    // Of which the nodes are down for 4 s and take 1.5 s at most to start.
+    assert!((4.0..=8.0).contains(&recovered_after), "{recovered_after} s");
+    assert!(get(&report, "servers_per_node_least") > 0.0);
+    assert_eq!(get(&report, "cold_started"), 0.0);
+}
+
+#[test]
+fn silent_counter_service_is_survived() {
     let calm = run(&format!("{SMALL} --measured-ms 14000"));
     assert_eq!(get(&calm, "counter_timed_out"), 0.0);
-    let silent = "--fail counter-silent --fail-at-ms 3000 --fail-for-ms 3000";
-    let silent = run(&format!("{SMALL} --measured-ms 14000 {silent}"));
+    let failure = "--fail counter-silent --fail-at-ms 3000 --fail-for-ms 3000";
+    let silent = run(&format!("{SMALL} --measured-ms 14000 {failure}"));
     assert!(get(&silent, "counter_timed_out") > 0.0);
     assert!(get(&silent, "refused_inside") > get(&calm, "refused_inside"));
     assert_eq!(get(&silent, "well_again"), 1.0);
+}
+
+#[test]
+fn counter_service_with_too_little_capacity_costs_service() {
+    let calm = run(&format!("{SMALL} --measured-ms 14000"));
     let small = run(&format!("{SMALL} --measured-ms 14000 --counter-calls-per-s 60"));
     assert!(get(&small, "counter_timed_out") > 0.1, "{}", get(&small, "counter_timed_out"));
     assert!(get(&small, "counter_calls") < get(&calm, "counter_calls") / 2.0);
@@ -122,20 +145,23 @@
 }
 
 #[test]
-fn what_cannot_be_run_is_refused_with_one_line() {
-    for bad in ["--nodes 0", "--work-ms -1", "--quota-share 1.5", "--fail flood", "--rate inf"] {
-        let words = ["fleet"].into_iter().chain(bad.split_whitespace());
-        assert!(Cli::try_parse_from(words).is_err(), "{bad}");
+fn arguments_out_of_bounds_do_not_parse() {
+    for arguments in ["--nodes 0", "--work-ms -1", "--quota-share 1.5", "--fail flood", "--rate inf"] {
+        assert!(parse(arguments).is_err(), "{arguments}");
     }
-    for bad in [
+}
+
+#[test]
+fn arguments_that_contradict_each_other_are_refused_in_one_line() {
+    for arguments in [
         "--nodes 5000 --servers 46000",
         "--regions 4 --zones 3",
         "--fail rack --fail-at-ms 30000",
         "--nodes 20000 --servers 1 --customers-per-node 100 --memory-most-mb 12000",
     ] {
-        let words = ["fleet"].into_iter().chain(bad.split_whitespace());
-        let options = Cli::try_parse_from(words).expect("arguments that parse").options;
-        let error = measure(&options.scenario).expect_err(bad).to_string();
-        assert!(!error.is_empty() && !error.contains('\n'), "{error}");
+        let options = parse(arguments).expect("arguments that parse");
+        let error = measure(&options.scenario).expect_err(arguments).to_string();
+        assert!(!error.is_empty(), "{arguments}");
+        assert!(!error.contains('\n'), "{error}");
     }
 }
