--- /dev/null
+++ b/tests/fakes/setups.rs
@@ -0,0 +1,55 @@
+//! What many tests start from, and what they assert.
+
+use super::client::{Client, RequestSpec};
+use super::configuration::{active, endpoint_entry, NodeConfiguration};
+use super::edge_process::EdgeProcess;
+use super::endpoint::FakeEndpoint;
+use super::http::HttpMessage;
+
+/// A node with one endpoint, and a client.
+pub struct OneEndpoint {
+    pub endpoint: FakeEndpoint,
+    pub edge: EdgeProcess,
+    pub client: Client,
+}
+
+/// A node with two endpoints, and a client.
+pub struct TwoEndpoints {
+    pub first: FakeEndpoint,
+    pub second: FakeEndpoint,
+    pub edge: EdgeProcess,
+    pub client: Client,
+}
+
+/// Starts a node with one endpoint in its own zone.
+pub fn one_endpoint() -> OneEndpoint {
+    let endpoint = FakeEndpoint::start();
+    let edge = NodeConfiguration::new(&[active("s-1", endpoint.address)]).start();
+    let client = edge.connect();
+    OneEndpoint { endpoint, edge, client }
+}
+
+/// Starts a node with an endpoint in its own zone `a` and another in this zone.
+pub fn two_endpoints(second_zone: &str) -> TwoEndpoints {
+    let first = FakeEndpoint::start();
+    let second = FakeEndpoint::start();
+    let entries = [active("s-1", first.address), endpoint_entry("s-2", second.address, second_zone, "up")];
+    let edge = NodeConfiguration::new(&entries).start();
+    let client = edge.connect();
+    TwoEndpoints { first, second, edge, client }
+}
+
+/// Asserts that a response says failed: neither served nor rejected.
+pub fn assert_failed(response: &HttpMessage) {
+    assert_ne!(response.status(), 200, "{}", response.first);
+    assert!(!response.is_rejected(), "{}", response.first);
+}
+
+/// Sends a request, answers it with 200 at this endpoint, and asserts that the client gets that.
+pub fn assert_served_by(endpoint: &FakeEndpoint, client: &mut Client, request: &RequestSpec) {
+    client.send(request);
+    let received = endpoint.next_request();
+    assert_eq!(received.request_id(), request.id);
+    received.respond_ok("ok");
+    client.assert_ok("ok");
+}
--- /dev/null
+++ b/tests/node_configuration.rs
@@ -0,0 +1,82 @@
+//! Unusable configurations at the start, and a new configuration while the node runs.
+
+mod fakes;
+
+use std::net::TcpListener;
+
+use fakes::{
+    active, assert_served_by, paid_request, request, start_until_end, FakeCounter, FakeDiscovery,
+    FakeEndpoint, NodeConfiguration,
+};
+
+#[test]
+fn unusable_configuration_ends_the_node_with_one_line() {
+    let with = |field: &str, value: &str| NodeConfiguration::new(&[]).text(field, value).to_text();
+    let other_listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address_in_use = other_listener.local_addr().expect("an address");
+    let unusable = [
+        "{".to_string(),
+        "{}".to_string(),
+        with("listen", "nowhere"),
+        with("discovery", "nowhere:x"),
+        with("counter", ""),
+        with("seed", "seed"),
+        with("listen", &address_in_use.to_string()),
+    ];
+    for configuration in unusable {
+        let end = start_until_end(&configuration);
+        assert!(!end.status.success(), "{configuration}");
+        assert!(end.log.starts_with("edge-node: "), "{}", end.log);
+        assert_eq!(end.log.lines().count(), 1, "{}", end.log);
+    }
+}
+
+#[test]
+fn reload_moves_discovery_and_the_counter_service() {
+    let old_endpoint = FakeEndpoint::start();
+    let new_endpoint = FakeEndpoint::start();
+    let old_discovery = FakeDiscovery::start();
+    let old_counter = FakeCounter::start();
+    let new_counter = FakeCounter::start();
+    // Nobody replies in place of the counter service at the end: the last calls take this long.
+    let configuration = NodeConfiguration::new(&[active("s-1", old_endpoint.address)])
+        .discovery(old_discovery.address)
+        .counter(old_counter.address)
+        .counter_timeout(3_000_000);
+    let mut edge = configuration.start();
+    old_discovery.wait_for_watch();
+    // A call in flight to the old counter service ends there, though the node has moved meanwhile.
+    let mut client = edge.connect();
+    client.send(&paid_request("post", "p-1"));
+    let mut call = old_counter.next_call();
+    // The new discovery's versions are its own and lower; its list names another endpoint.
+    let new_discovery = FakeDiscovery::with_snapshot(0, &[active("s-2", new_endpoint.address)]);
+    let configuration = configuration.discovery(new_discovery.address).counter(new_counter.address);
+    edge.reload(&configuration.to_text());
+    new_discovery.wait_for_watch_from(0);
+    call.reply_total(call.amount);
+    new_endpoint.next_request().respond_ok("moved");
+    client.assert_ok("moved");
+    // Units that the lease does not hold are asked for at the new counter service.
+    let text = paid_request("post", "p-2").text();
+    client.send_raw(&text.replace("key=0000000000000007", "key=0000000000000008"));
+    let mut call = new_counter.next_call();
+    call.reply_total(call.amount);
+    new_endpoint.next_request().respond_ok("ok");
+    client.assert_ok("ok");
+    assert!(old_counter.poll_call().is_none(), "a call to the old counter service");
+
+    // An unusable configuration is reported in one line each, and changes nothing. Nor does the same one again.
+    for unusable in ["{", "{\"discovery\":\"nowhere\"}"] {
+        edge.reload(unusable);
+        let line = edge.next_log_line();
+        assert!(line.starts_with("edge-node: the old configuration stays: "), "{line}");
+    }
+    edge.reload(&configuration.to_text());
+    new_discovery.publish(active("s-2", new_endpoint.address));
+    assert_served_by(&new_endpoint, &mut client, &request("post", "p-3"));
+    old_endpoint.assert_no_request();
+    edge.terminate();
+    edge.signal("HUP");
+    assert!(edge.wait_for_end().status.success());
+}
--- /dev/null
+++ b/tests/node_descriptor_limit.rs
@@ -0,0 +1,81 @@
+//! Service with fewer descriptors than clients.
+
+mod fakes;
+
+use std::array::from_fn;
+
+use fakes::{active, assert_served_by, request, Client, EdgeProcess, FakeEndpoint, NodeConfiguration};
+
+const DESCRIPTORS: u32 = 40;
+
+/// A node with few descriptors and one endpoint.
+struct SmallNode {
+    endpoint: FakeEndpoint,
+    edge: EdgeProcess,
+}
+
+fn small_node() -> SmallNode {
+    let endpoint = FakeEndpoint::start();
+    let configuration = NodeConfiguration::new(&[active("s-1", endpoint.address)]);
+    let edge = configuration.descriptors(DESCRIPTORS).start();
+    SmallNode { endpoint, edge }
+}
+
+#[test]
+fn idle_connections_give_way_to_new_ones_and_no_request_is_lost() {
+    let SmallNode { endpoint, edge } = small_node();
+    // Many more clients than descriptors, each idle after its response.
+    let mut idle_clients = Vec::new();
+    for number in 0..100 {
+        let [mut client] = edge.connect_having_sent([request("lookup", &format!("l-{number}")).text()]);
+        endpoint.next_request().respond_ok("ok");
+        client.assert_ok("ok");
+        idle_clients.push(client);
+    }
+    drop(idle_clients);
+    // More at once than there are descriptors for: the others wait in the backlog, and are served as soon as one of
+    // the earlier clients has its response and is idle, though its connection stays open.
+    let texts = from_fn(|number| request("post", &format!("p-{number}")).text());
+    let mut clients: [Client; 20] = edge.connect_having_sent(texts);
+    for _ in 0..20 {
+        endpoint.next_request().respond_ok("ok");
+    }
+    for client in &mut clients {
+        assert_eq!(client.response().status(), 200);
+    }
+}
+
+#[test]
+fn clients_that_never_finish_their_request_give_way() {
+    let SmallNode { endpoint, edge } = small_node();
+    let text = request("lookup", "l-0").text();
+    let _unfinished = edge.connect_having_sent([&text[..text.len() / 2]; 20]);
+    let [mut client] = edge.connect_having_sent([request("lookup", "l-1").text()]);
+    endpoint.next_request().respond_ok("ok");
+    client.assert_ok("ok");
+}
+
+#[test]
+fn silent_connections_keep_no_client_out() {
+    let SmallNode { endpoint, edge } = small_node();
+    let mut regular = edge.connect();
+    assert_served_by(&endpoint, &mut regular, &request("post", "first"));
+    let mut silent_clients = Vec::new();
+    for number in 0..5 {
+        // Each time more of them than there are descriptors; the connection in use outlives them all. A new client
+        // that sent only after the response to the regular one would be silent itself.
+        let mut new_client = edge.while_suspended(|| {
+            silent_clients.extend((0..30).map(|_| edge.connect()));
+            let mut client = edge.connect();
+            client.send(&request("post", &format!("new-{number}")));
+            client
+        });
+        regular.send(&request("post", &format!("usual-{number}")));
+        for _ in 0..2 {
+            endpoint.next_request().respond_ok("ok");
+        }
+        for client in [&mut regular, &mut new_client] {
+            client.assert_ok("ok");
+        }
+    }
+}
--- /dev/null
+++ b/tests/node_upstream_connections.rs
@@ -0,0 +1,121 @@
+//! Which connections to endpoints the node uses again, and what it makes of malformed responses.
+
+mod fakes;
+
+use std::thread::sleep;
+use std::time::{Duration, Instant};
+
+use fakes::{assert_failed, assert_served_by, one_endpoint, request, OneEndpoint};
+
+#[test]
+fn idle_connection_that_the_endpoint_has_closed_costs_no_request() {
+    let OneEndpoint { endpoint, edge: _edge, mut client } = one_endpoint();
+    for number in 0..3 {
+        assert_served_by(&endpoint, &mut client, &request("post", &format!("p-{number}")));
+        endpoint.close_connections();
+        // The endpoint's side has ended, so its close is on the way before the next request is.
+        endpoint.assert_connection_ended();
+    }
+}
+
+#[test]
+fn connections_that_are_reset_after_idle_time_are_not_used_again() {
+    let OneEndpoint { endpoint, edge: _edge, mut client } = one_endpoint();
+    let mut resets = 0;
+    for number in 0..20 {
+        let connections_before = endpoint.connection_count();
+        client.send(&request("lookup", &format!("l-{number}")));
+        let mut received = endpoint.next_request();
+        if number > 0 && endpoint.connection_count() > connections_before {
+            assert!(resets > 0, "a connection that was never reset was not used again");
+            return received.respond_ok("ok");
+        }
+        if number > 0 {
+            resets += 1;
+            received.close();
+            received = endpoint.next_request();
+        }
+        received.respond_ok("ok");
+        client.assert_ok("ok");
+        sleep(Duration::from_millis(100));
+    }
+    panic!("{resets} requests were written to connections that are reset when idle");
+}
+
+#[test]
+fn malformed_response_fails_at_once_and_its_endpoint_stays_in_use() {
+    let endless_headers = format!("HTTP/1.1 200 OK\r\n{}", "X-More: and more\r\n".repeat(4_000));
+    let malformed: [&[u8]; 10] = [
+        b"\x00\xffnoise\r\n\r\n",
+        b"HTTP/1.1 two hundred\r\n\r\n",
+        endless_headers.as_bytes(),
+        b"HTTP/1.1 200 OK\r\nContent-Le",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nand it keeps coming",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 9\r\n\r\nslip!",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nslip!\r\n0\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n",
+        b"HTTP/1.1 200 OK\r\n\r\nwithout a length",
+        b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
+    ];
+    let OneEndpoint { endpoint, edge: _edge, mut client } = one_endpoint();
+    for (number, bytes) in malformed.into_iter().enumerate() {
+        client.send(&request("post", &format!("p-{number}")));
+        let received = endpoint.next_request();
+        assert_eq!(received.request_id(), format!("p-{number}"), "the endpoint is out of use");
+        received.send_raw(bytes);
+        assert_failed(&client.response());
+    }
+    // Shorter than its length; nothing more comes, though the connection stays open.
+    client.send(&request("lookup", "l-1"));
+    endpoint.next_request().send_raw(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
+    endpoint.next_request().respond_ok("again");
+    client.assert_ok("again");
+}
+
+#[test]
+fn bytes_before_or_after_a_good_response_harm_neither_it_nor_the_next() {
+    let OneEndpoint { endpoint, edge: _edge, mut client } = one_endpoint();
+    let good = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
+    let interim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
+    for (number, (before, after)) in [("", good), ("", "noise"), (interim, "")].into_iter().enumerate() {
+        client.send(&request("post", &format!("p-{number}")));
+        endpoint.next_request().send_raw(format!("{before}{good}{after}").as_bytes());
+        assert_eq!(client.response().body, b"first");
+        client.send(&request("post", &format!("q-{number}")));
+        endpoint.next_request().respond_ok("second");
+        assert_eq!(client.response().body, b"second");
+    }
+}
+
+/// A duplicate that comes some milliseconds after its response would meet the next request on the same connection,
+/// so a connection is not used again for 20 ms. Only rounds count in which the next request comes within that time.
+#[test]
+fn late_duplicate_response_is_not_matched_to_the_next_request() {
+    let pause_before_reuse = Duration::from_millis(20);
+    let OneEndpoint { endpoint, edge: _edge, mut client } = one_endpoint();
+    let mut rounds_in_time = 0;
+    for number in 0..500 {
+        let old_body = format!("old-{number}");
+        let new_body = format!("new-{number}");
+        client.send(&request("post", &format!("p-{number}")));
+        let mut first = endpoint.next_request();
+        let first_connection = first.node_address();
+        let responded_at = Instant::now();
+        first.send_response("200 OK", &old_body);
+        assert_eq!(client.response().body, old_body.as_bytes());
+        client.send(&request("post", &format!("q-{number}")));
+        let next = endpoint.next_request();
+        // The connection has been idle for less than this.
+        if responded_at.elapsed() < pause_before_reuse {
+            assert_ne!(next.node_address(), first_connection, "a connection was used again at once");
+            rounds_in_time += 1;
+            first.send_response("200 OK", &old_body);
+        }
+        next.respond_ok(&new_body);
+        assert_eq!(client.response().body, new_body.as_bytes());
+        if rounds_in_time == 5 {
+            return;
+        }
+    }
+    panic!("no five rounds in which the next request came before the pause was over");
+}
