--- a/crates/scale-bench/src/decisions/model.rs
+++ b/crates/scale-bench/src/decisions/model.rs
@@ -138,12 +138,12 @@
         self.stopwatch.excludes_waiting()
     }
 
-    /// Starts to record times and counts.
+    /// Starts recording times and counts.
     pub fn start_measuring(&mut self) {
         self.measuring = true;
     }
 
-    /// Stops to record times and counts.
+    /// Stops recording times and counts.
     pub fn stop_measuring(&mut self) {
         self.measuring = false;
     }
--- a/crates/scale-bench/src/fakes/counter_service.rs
+++ b/crates/scale-bench/src/fakes/counter_service.rs
@@ -71,6 +71,7 @@
 
 /// The counter service.
 pub struct CounterService {
+    address: SocketAddr,
     capacity: CounterCapacity,
     counters: Mutex<Counters>,
     silent: watch::Sender<bool>,
@@ -85,10 +86,10 @@
     ///
     /// # Errors
     /// If it can't listen.
-    pub async fn start(capacity: CounterCapacity) -> io::Result<(Arc<Self>, SocketAddr)> {
+    pub async fn start(capacity: CounterCapacity) -> io::Result<Arc<Self>> {
         let listener = listen_on_loopback().await?;
-        let address = listener.local_addr()?;
         let service = Arc::new(CounterService {
+            address: listener.local_addr()?,
             capacity,
             counters: Mutex::new(Counters::new(&capacity)),
             silent: watch::channel(false).0,
@@ -98,7 +99,12 @@
             busy: AtomicU64::new(0),
         });
         tokio::spawn(service.clone().serve(listener));
-        Ok((service, address))
+        Ok(service)
+    }
+
+    /// Where it listens.
+    pub fn address(&self) -> SocketAddr {
+        self.address
     }
 
     /// The bytes that it has received and sent.
--- a/crates/scale-bench/src/fakes/discovery_agent.rs
+++ b/crates/scale-bench/src/fakes/discovery_agent.rs
@@ -44,6 +44,7 @@
 
 /// The discovery agent.
 pub struct DiscoveryAgent {
+    address: SocketAddr,
     list: Mutex<EndpointList>,
     version: watch::Sender<u64>,
     silent: watch::Sender<bool>,
@@ -86,10 +87,10 @@
     ///
     /// # Errors
     /// If it can't listen.
-    pub async fn start(list: EndpointList, indented: bool) -> io::Result<(Arc<Self>, SocketAddr)> {
+    pub async fn start(list: EndpointList, indented: bool) -> io::Result<Arc<Self>> {
         let listener = listen_on_loopback().await?;
-        let address = listener.local_addr()?;
         let agent = Arc::new(DiscoveryAgent {
+            address: listener.local_addr()?,
             version: watch::channel(list.version()).0,
             list: Mutex::new(list),
             silent: watch::channel(false).0,
@@ -100,7 +101,12 @@
             deltas_sent: AtomicU64::new(0),
         });
         tokio::spawn(agent.clone().serve(listener));
-        Ok((agent, address))
+        Ok(agent)
+    }
+
+    /// Where it listens.
+    pub fn address(&self) -> SocketAddr {
+        self.address
     }
 
     /// The bytes that it has received and sent.
--- a/crates/scale-bench/src/fakes/endpoints.rs
+++ b/crates/scale-bench/src/fakes/endpoints.rs
@@ -96,6 +96,7 @@
 
 /// The endpoints.
 pub struct Endpoints {
+    port: u16,
     work: WorkModel,
     requests: Vec<RequestRecord>,
     used: Mutex<HashSet<Ipv4Addr>>,
@@ -111,10 +112,10 @@
     ///
     /// # Errors
     /// If they can't listen on the loopback device alone.
-    pub fn start(work: WorkModel, request_count: u32) -> io::Result<(Arc<Self>, u16)> {
+    pub fn start(work: WorkModel, request_count: u32) -> io::Result<Arc<Self>> {
         let listener = listen_on_all_loopback_addresses()?;
-        let port = listener.local_addr()?.port();
         let endpoints = Arc::new(Endpoints {
+            port: listener.local_addr()?.port(),
             work,
             requests: (0..request_count).map(|_| RequestRecord::default()).collect(),
             used: Mutex::default(),
@@ -124,7 +125,12 @@
             unknown_requests: AtomicU64::new(0),
         });
         tokio::spawn(endpoints.clone().serve(listener));
-        Ok((endpoints, port))
+        Ok(endpoints)
+    }
+
+    /// The port that each of them listens at.
+    pub fn port(&self) -> u16 {
+        self.port
     }
 
     /// What they have counted so far.
--- a/crates/scale-bench/src/fleet/node.rs
+++ b/crates/scale-bench/src/fleet/node.rs
@@ -147,7 +147,7 @@
     pub key: CounterKey,
     /// When the call was made.
     pub started_at: Micros,
-    /// Whether the decisions were told that it timed out.
+    /// Whether it was reported to the decisions as timed out.
     pub timed_out: bool,
 }
 
--- a/crates/scale-bench/src/fleet/scenario.rs
+++ b/crates/scale-bench/src/fleet/scenario.rs
@@ -12,7 +12,7 @@
 pub const CLOCK_START: Micros = 1_000_000_000;
 /// The least time before a failure that service is compared with, in milliseconds.
 const MIN_TIME_BEFORE_FAILURE_MS: u64 = 1_000;
-/// Upper estimates of the memory that a run needs, in bytes; they only serve to refuse what surely does not fit.
+/// Upper estimates of the memory that a run needs, in bytes; they only serve to refuse what cannot fit.
 const BYTES_PER_LISTED_ENDPOINT: f64 = 420.0;
 const BYTES_PER_NODE: f64 = 250_000.0;
 const BYTES_PER_ACCOUNT: f64 = 2_500.0;
--- a/crates/scale-bench/src/fleet/world/attempts.rs
+++ b/crates/scale-bench/src/fleet/world/attempts.rs
@@ -54,7 +54,7 @@
         None
     }
 
-    /// Ends an attempt that is in flight at its node, and returns what the node's decisions are told.
+    /// Ends an attempt that is in flight at its node, and returns the event for the node's decisions.
     pub(super) fn end_attempt(&mut self, attempt: AttemptId, outcome: Outcome) -> Option<Event> {
         let now = self.queue.now();
         let pending = self.pending_tries.get_mut(&attempt.request)?;
--- a/crates/scale-bench/src/fleet/world/front.rs
+++ b/crates/scale-bench/src/fleet/world/front.rs
@@ -147,7 +147,7 @@
         let mut available = Vec::new();
         for offset in 0..self.nodes_per_account() {
             let node = ((first_node + offset) % self.scenario.nodes) as usize;
-            if self.looks_available(node) {
+            if self.appears_available(node) {
                 available.push(node);
             }
         }
@@ -157,7 +157,7 @@
         Some(available[self.random.random_range(0..available.len())])
     }
 
-    fn looks_available(&self, node: NodeIndex) -> bool {
+    fn appears_available(&self, node: NodeIndex) -> bool {
         match self.nodes[node].state {
             NodeState::Up => true,
             NodeState::Stopped => false,
--- a/crates/scale-bench/src/node.rs
+++ b/crates/scale-bench/src/node.rs
@@ -24,7 +24,7 @@
 use crate::report::Report;
 use load::schedule::RequestSchedule;
 use peers::{Peers, StartedPeers};
-use process::{Process, StartingNode};
+use process::{StartedProcess, StartingNode};
 
 /// Threads that serve clients and endpoints.
 const DATA_THREADS: usize = 2;
@@ -65,10 +65,11 @@
         .agent
         .snapshot_text()
         .map_err(|error| BenchError::System { what: "cannot write the list", source: error.into() })?;
-    let configuration = configuration::write(options, peers.addresses, initial_list)?;
+    let configuration = configuration::write(options, peers.addresses(), initial_list)?;
     peers.start_list_changes(options, control);
     let interruption = limits::interruption()?;
-    let (mut process, starting) = Process::start(&options.program, configuration.path())?;
+    let StartedProcess { mut process, node: starting } =
+        StartedProcess::start(&options.program, configuration.path())?;
     let time_limit = options.time_limit();
     let run = Run { options, control, peers, schedule, work, list_bytes: snapshot.len() };
     let result = tokio::select! {
--- a/crates/scale-bench/src/node/peers.rs
+++ b/crates/scale-bench/src/node/peers.rs
@@ -29,8 +29,6 @@
     pub counter: Arc<CounterService>,
     /// The endpoints.
     pub endpoints: Arc<Endpoints>,
-    /// Where the node finds agent and counter service.
-    pub addresses: PeerAddresses,
 }
 
 /// The fakes, and the list that the node has at its start.
@@ -52,27 +50,32 @@
         work: WorkModel,
         request_count: u32,
     ) -> Result<StartedPeers, BenchError> {
-        let (endpoints, port) = Endpoints::start(work, request_count).map_err(|source| {
-            BenchError::System { what: "cannot listen for app servers on the loopback device alone", source }
+        let endpoints = Endpoints::start(work, request_count).map_err(|source| BenchError::System {
+            what: "cannot listen for app servers on the loopback device alone",
+            source,
         })?;
         let mut list = EndpointList::new(ListShape {
             endpoints: options.servers,
             seed: options.seed,
             zones: options.zones,
             name_length: options.name_length.into(),
-            port,
+            port: endpoints.port(),
         });
         let initial_list = initial_list(&mut list, options.known);
         let agent = DiscoveryAgent::start(list, options.indented);
-        let (agent, agent_address) = start_in(control, "cannot listen for the agent", agent).await?;
+        let agent = start_in(control, "cannot listen for the agent", agent).await?;
         let capacity = CounterCapacity {
             calls_per_second: options.counter_per_s,
             delay: Duration::from_secs_f64(options.counter_delay_ms / 1e3),
         };
         let counter = CounterService::start(capacity);
-        let (counter, counter_address) = start_in(control, "cannot listen for the counter", counter).await?;
-        let addresses = PeerAddresses { agent: agent_address, counter: counter_address };
-        Ok(StartedPeers { peers: Peers { agent, counter, endpoints, addresses }, initial_list })
+        let counter = start_in(control, "cannot listen for the counter", counter).await?;
+        Ok(StartedPeers { peers: Peers { agent, counter, endpoints }, initial_list })
+    }
+
+    /// Where the node finds agent and counter service.
+    pub fn addresses(&self) -> PeerAddresses {
+        PeerAddresses { agent: self.agent.address(), counter: self.counter.address() }
     }
 
     /// Changes the list at its rate from now on, for as long as the runtime lives.
--- a/crates/scale-bench/src/node/process.rs
+++ b/crates/scale-bench/src/node/process.rs
@@ -63,12 +63,20 @@
     pub address: SocketAddr,
 }
 
-impl Process {
+/// A process that was just started: its end and its readiness are waited for apart.
+pub struct StartedProcess {
+    /// The process.
+    pub process: Process,
+    /// The node in it.
+    pub node: StartingNode,
+}
+
+impl StartedProcess {
     /// Starts the program with the configuration in this file.
     ///
     /// # Errors
     /// If the program can't be run.
-    pub fn start(program: &Path, configuration: &Path) -> Result<(Process, StartingNode), BenchError> {
+    pub fn start(program: &Path, configuration: &Path) -> Result<StartedProcess, BenchError> {
         let started_at = Instant::now();
         let mut child = Command::new(program)
             .env("PROXY_CONFIG", configuration)
@@ -85,9 +93,12 @@
         let (address_sender, address) = oneshot::channel();
         let log_reader = tokio::spawn(read_log(stderr, log.clone(), address_sender));
         let process = Process { child, log: log.clone(), log_reader: Some(log_reader) };
-        Ok((process, StartingNode { address, process_id, log, started_at }))
+        let node = StartingNode { address, process_id, log, started_at };
+        Ok(StartedProcess { process, node })
     }
+}
 
+impl Process {
     /// Waits until the process ends by itself, and returns that as an error.
     pub async fn ended(&mut self) -> BenchError {
         let status = self.child.wait().await;
--- a/crates/scale-bench/tests/counter_service.rs
+++ b/crates/scale-bench/tests/counter_service.rs
@@ -27,8 +27,8 @@
 
 #[tokio::test]
 async fn pipelined_calls_are_answered_in_order() {
-    let (service, address) = CounterService::start(capacity(1000.0)).await.expect("a port");
-    let mut connection = Connection::open(address).await;
+    let service = CounterService::start(capacity(1000.0)).await.expect("a port");
+    let mut connection = Connection::open(service.address()).await;
     let longest_name = "n".repeat(64);
     let too_long_name = "n".repeat(65);
     let rows: [(&[&str], &[&str]); 12] = [
@@ -72,8 +72,8 @@
 #[tokio::test]
 async fn calls_beyond_the_capacity_are_answered_busy() {
     // The burst is one call, and no capacity comes back.
-    let (service, address) = CounterService::start(capacity(0.0)).await.expect("a port");
-    let mut connection = Connection::open(address).await;
+    let service = CounterService::start(capacity(0.0)).await.expect("a port");
+    let mut connection = Connection::open(service.address()).await;
     connection.write(&call(&["INCRTTL", "a", "1", "1000"]).repeat(3)).await;
     for expected in ["$1", "1", "-BUSY", "-BUSY"] {
         assert_eq!(connection.read_line().await, expected);
--- a/crates/scale-bench/tests/discovery_agent.rs
+++ b/crates/scale-bench/tests/discovery_agent.rs
@@ -24,8 +24,8 @@
 
 #[tokio::test]
 async fn agent_sends_deltas_to_watches_and_snapshots_where_no_delta_leads() {
-    let (agent, address) = DiscoveryAgent::start(endpoint_list(30, 1), false).await.expect("a port");
-    let mut connection = Connection::open(address).await;
+    let agent = DiscoveryAgent::start(endpoint_list(30, 1), false).await.expect("a port");
+    let mut connection = Connection::open(agent.address()).await;
     let first = get_list(&mut connection, "").await;
     assert_eq!((first.version, first.is_snapshot, first.endpoints.len()), (1, true, 30));
     let nothing_new = ListMessage { version: 1, is_snapshot: false, endpoints: vec![] };
@@ -69,8 +69,8 @@
 
 #[tokio::test]
 async fn indented_list_has_the_same_entries() {
-    let (agent, address) = DiscoveryAgent::start(endpoint_list(30, 1), true).await.expect("a port");
-    let mut connection = Connection::open(address).await;
+    let agent = DiscoveryAgent::start(endpoint_list(30, 1), true).await.expect("a port");
+    let mut connection = Connection::open(agent.address()).await;
     let expected = endpoint_list(30, 1).snapshot().endpoints;
     assert_eq!(get_list(&mut connection, "").await.endpoints, expected);
     let text = agent.snapshot_text().expect("a text");
--- a/crates/scale-bench/tests/endpoints.rs
+++ b/crates/scale-bench/tests/endpoints.rs
@@ -21,7 +21,7 @@
 }
 
 #[tokio::test]
-async fn endpoints_are_told_apart_by_their_addresses_and_count_what_arrives() {
+async fn endpoints_are_distinguished_by_their_addresses_and_count_what_arrives() {
     let work = WorkModel {
         seed: 1,
         mean: Duration::from_millis(2),
@@ -29,8 +29,8 @@
         body_length: 40,
         idle_timeout: Duration::from_secs(3600),
     };
-    let (endpoints, port) = Endpoints::start(work, 10).expect("the loopback device");
-    let address = |last_byte| SocketAddr::from((Ipv4Addr::new(127, 1, 2, last_byte), port));
+    let endpoints = Endpoints::start(work, 10).expect("the loopback device");
+    let address = |last_byte| SocketAddr::from((Ipv4Addr::new(127, 1, 2, last_byte), endpoints.port()));
     let mut first = Connection::open(address(3)).await;
     let mut second = Connection::open(address(4)).await;
     for number in [3, 3, 4] {
