--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -2,15 +2,12 @@
 
 use bytes::Bytes;
 use http_body_util::Full;
-use hyper::header::HeaderName;
 use hyper::{Request, StatusCode};
 
 use crate::decision::Outcome;
 use crate::net::http_client::{has_unambiguous_length, read_body, BodyError, ClientConnection, SendError};
 use crate::net::upstream::request::MAX_BODY_BYTES;
-
-/// An endpoint sets this header to `1` where it rejected a request before it ran.
-const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
+use crate::protocol::headers::NOT_RUN;
 
 /// A response that was read.
 pub(super) struct Exchange {
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -10,7 +10,5 @@
 mod upstreams;
 
 pub use crate::net::upstream::attempt::AttemptResult;
-pub use crate::net::upstream::request::{
-    ForwardedRequest, DEADLINE, IDEMPOTENCY_KEY, MAX_BODY_BYTES, REQUEST_ID,
-};
+pub use crate::net::upstream::request::{ForwardedRequest, MAX_BODY_BYTES};
 pub use crate::net::upstream::upstreams::Upstreams;
--- a/src/net/upstream/request.rs
+++ b/src/net/upstream/request.rs
@@ -2,19 +2,14 @@
 
 use bytes::Bytes;
 use http_body_util::Full;
-use hyper::header::{HeaderName, HeaderValue, HOST};
+use hyper::header::{HeaderValue, HOST};
 use hyper::{Method, Request, Uri};
 
+use crate::protocol::headers::{DEADLINE, IDEMPOTENCY_KEY, REQUEST_ID};
+
 /// Most bytes in the body of a request or a response.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// The request's id.
-pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// The key by which endpoints drop repeats.
-pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// How long the sender will wait, in milliseconds.
-pub const DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
-
 /// What of a client's request is sent to an endpoint.
 pub struct ForwardedRequest {
     /// The method.
