--- /dev/null
+++ b/src/decision/estimators/decaying_rate.rs
@@ -0,0 +1,35 @@
+//! A rate that forgets the past exponentially.
+
+use super::MICROS_PER_SECOND;
+use crate::decision::Micros;
+
+/// Rate of what was recorded, in units per second. A recorded amount fades by a factor of e for each time
+/// constant that passes; the time constant is given in microseconds and is the same in all calls.
+#[derive(Clone, Copy, Default)]
+pub(in crate::decision) struct DecayingRate {
+    per_second: f64,
+    recorded_at: Micros,
+}
+
+impl DecayingRate {
+    /// The rate at `now`, in units per second.
+    pub fn per_second(&self, now: Micros, time_constant: f64) -> f64 {
+        self.per_second * (-(now.saturating_sub(self.recorded_at) as f64) / time_constant).exp()
+    }
+
+    /// Records `amount` units at `now`.
+    pub fn record(&mut self, now: Micros, amount: f64, time_constant: f64) {
+        self.per_second = self.per_second(now, time_constant) + amount * MICROS_PER_SECOND / time_constant;
+        self.recorded_at = now;
+    }
+
+    // Old name, removed at the join.
+    pub fn get(&self, now: Micros, span: f64) -> f64 {
+        self.per_second(now, span)
+    }
+
+    // Old name, removed at the join.
+    pub fn add(&mut self, now: Micros, amount: f64, span: f64) {
+        self.record(now, amount, span);
+    }
+}
--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -66,7 +66,7 @@
         let share = SHED_CHEAPEST + (SHED_DEAREST - SHED_CHEAPEST) * rank;
         // All classes queue at the same servers: the shortest aim rules, or the patient class takes all.
         // Danger: of a few answers the mean swings far, and each node would shed at its own chance highs.
-        let sure = 1.0 - 1.0 / (1.0 + self.times.count.get(now, MEAN_SPAN)).sqrt();
+        let sure = 1.0 - 1.0 / (1.0 + self.times.weight(now, MEAN_SPAN)).sqrt();
         let over = self.expected(settings, balancer, now) * sure / (shortest_aim(settings) * share).max(1.0);
         (over > 1.0).then(|| (over.ln() / HELD_GAIN * TICK as f64) as Micros)
     }
