--- a/src/decision/balancer/endpoint_table.rs
+++ b/src/decision/balancer/endpoint_table.rs
@@ -1,192 +1,337 @@
-//! The app servers that a node knows, with one owner: in order, met ones, totals. Danger: what looks through
-//! all for each request or tick grows with the fleet: with some ten thousand a node can't serve at all.
+//! The endpoints that a node knows, with one owner and with indexes by id, by deduplication group and by
+//! traffic.
+//!
+//! Work for a request or a tick that grew with the fleet would leave a node before some ten thousand
+//! endpoints unable to serve at all. So nothing here walks all endpoints but what applies or forgets list
+//! entries.
 
 use std::cell::Cell;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet};
 
-use crate::decision::estimators::{Bucket, Rate, Tally};
-use crate::decision::load_shedding::DONE_SPAN;
-use crate::decision::{
-    DeduplicationScope, EndpointEntry, EndpointId, EndpointState, Idempotency, Micros, RequestClass,
-};
+use super::deduplication_group::{DeduplicationGroup, GroupsInUse};
+use super::endpoint::Endpoint;
+use super::subset::MAX_EXAMINED;
+use crate::decision::estimators::TokenBucket;
+use crate::decision::{EndpointEntry, EndpointId, EndpointState, Micros, RequestClass};
 
-/// A list of up to so many servers is looked through whole for an attempt: some microseconds. Of a longer one
-/// it is the subset and, where nobody there is open, so many of the rest: the best of them is in the best
-/// fiftieth but once in a hundred times. So many servers met are never forgotten, too.
-pub(in crate::decision) const LOOKS: usize = 256;
+/// Up to so many endpoints with traffic are never dropped from their index.
+const MIN_WITH_TRAFFIC: usize = MAX_EXAMINED;
+/// Responses per second that are lost in rounding when the rates of all endpoints are added up.
+const NEGLIGIBLE_COMPLETION_RATE: f64 = 1e-20;
 
-#[derive(Default)]
-pub(in crate::decision) struct Server {
-    /// What the list told last, but for the latest start.
-    pub told: EndpointEntry,
-    /// When the attempts that are out were sent. The roster alone changes it.
-    pub in_flight: VecDeque<Micros>,
-    pub latency: f64,
-    pub done: Rate,
-    /// How attempts ended, by kind: class or plan.
-    pub tally: BTreeMap<usize, Tally>,
-    pub heard: Micros,
-    /// When the latest of the attempts was sent that it has answered.
-    pub answered: Micros,
-    /// Ejections since its last answer or start.
-    pub strikes: u32,
-    /// Connections to it that broke under a request since its last answer.
-    pub breaks: u32,
-    pub ejected: Micros,
-    pub slow_start: Bucket,
+/// An entry of the endpoint list on its way into the table.
+pub(super) struct ListedEndpoint {
+    /// The entry.
+    pub entry: EndpointEntry,
+    /// The bucket that the endpoint gets if it is new or has restarted.
+    pub slow_start: TokenBucket,
+}
+
+/// An active endpoint: its place on the ring of ids and in the table.
+#[derive(Clone, Copy)]
+pub(in crate::decision) struct RingEntry {
+    id: EndpointId,
+    slot: usize,
 }
 
-fn groups(m: &EndpointEntry) -> [(bool, u32, EndpointId); 2] {
-    [(false, m.zone, m.id), (true, m.cell, m.id)]
+/// An endpoint in a deduplication group. In an ordered set, the endpoints of a group are next to each other.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct GroupMember {
+    group: DeduplicationGroup,
+    id: EndpointId,
 }
 
+/// The endpoints that a node knows.
 #[derive(Default)]
-pub(in crate::decision) struct Roster {
-    slots: Vec<Server>,
-    free: Vec<usize>,
-    /// The slots of listed servers in the order of their ids, the same at all nodes; and of the others.
-    pub ring: Vec<(EndpointId, usize)>,
-    pub off: BTreeMap<EndpointId, usize>,
-    /// Those that share their work by zone or by cell, if any class asks for it.
-    groups: BTreeSet<(bool, u32, EndpointId)>,
-    grouped: [bool; 2],
-    /// Those with something out or a rate of answers.
-    met: BTreeMap<EndpointId, usize>,
-    /// How many attempts are out.
-    pub in_flight: usize,
-    pub looked: Cell<u64>,
-    pub touched: u64,
+pub(in crate::decision) struct EndpointTable {
+    /// The endpoints; the indexes below name them by their slot, which stays the same.
+    slots: Vec<Endpoint>,
+    free_slots: Vec<usize>,
+    /// The active endpoints in the order of their ids, which is the same at all nodes: the ring of
+    /// subsetting.
+    // At the join: private, `active`.
+    pub(in crate::decision) ring: Vec<RingEntry>,
+    /// The endpoints that are draining, or removed with attempts still in flight.
+    // At the join: private, `inactive`.
+    pub(in crate::decision) off: BTreeMap<EndpointId, usize>,
+    /// The endpoints of each deduplication group in use.
+    group_members: BTreeSet<GroupMember>,
+    groups_in_use: GroupsInUse,
+    /// The endpoints with attempts in flight or a rate of responses.
+    with_traffic: BTreeMap<EndpointId, usize>,
+    /// Attempts in flight.
+    in_flight: usize,
+    /// Endpoints examined for requests and ticks since the start.
+    // At the join: private, `endpoints_examined`.
+    pub(in crate::decision) looked: Cell<u64>,
+    /// List entries since the start that were new or changed something.
+    // At the join: private, `entries_changed`.
+    pub(in crate::decision) touched: u64,
 }
 
-impl Roster {
+impl EndpointTable {
+    /// An empty table for requests of these classes.
     pub fn new(classes: &[RequestClass]) -> Self {
-        let keyed = |group| {
-            classes.iter().any(|c| c.idempotency == Idempotency::Keyed && c.deduplication_scope == group)
-        };
-        Roster {
-            grouped: [keyed(DeduplicationScope::Zone), keyed(DeduplicationScope::Cell)],
-            ..Roster::default()
-        }
+        EndpointTable { groups_in_use: GroupsInUse::by(classes), ..EndpointTable::default() }
     }
 
-    /// The listed server at this place; the ring goes round.
-    pub fn at(&self, place: usize) -> &Server {
-        self.looked.set(self.looked.get() + 1);
-        &self.slots[self.ring[place % self.ring.len()].1]
+    /// How many endpoints are active.
+    pub fn active_count(&self) -> usize {
+        self.ring.len()
     }
 
-    pub fn met(&self) -> impl Iterator<Item = &Server> {
-        self.looked.set(self.looked.get() + self.met.len() as u64);
-        self.met.values().map(|&slot| &self.slots[slot])
+    /// How many endpoints something is kept of.
+    #[allow(dead_code)] // Called from the join on.
+    pub fn retained_count(&self) -> usize {
+        self.ring.len() + self.off.len()
     }
 
-    /// The places of a zone's or a cell's listed servers.
-    pub fn group(&self, cell: bool, number: u32) -> impl Iterator<Item = usize> + '_ {
-        let all = (cell, number, EndpointId(0))..=(cell, number, EndpointId(u64::MAX));
-        self.groups.range(all).filter_map(|e| self.ring.binary_search_by_key(&e.2, |e| e.0).ok())
+    /// How many attempts are in flight.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight
     }
 
-    fn slot(&self, id: EndpointId) -> Option<usize> {
-        let place = self.ring.binary_search_by_key(&id, |e| e.0);
-        place.map_or_else(|_| self.off.get(&id).copied(), |place| Some(self.ring[place].1))
+    /// How many endpoints were examined for requests and ticks since the start.
+    #[allow(dead_code)] // Called from the join on.
+    pub fn endpoints_examined(&self) -> u64 {
+        self.looked.get()
+    }
+
+    /// How many list entries since the start were new or changed something.
+    #[allow(dead_code)] // Called from the join on.
+    pub fn entries_changed(&self) -> u64 {
+        self.touched
     }
 
-    pub fn get(&self, id: EndpointId) -> Option<&Server> {
+    /// The active endpoint at a position of the ring; positions beyond the last go round.
+    pub fn at(&self, position: usize) -> &Endpoint {
+        self.count_examined(1);
+        &self.slots[self.ring[position % self.ring.len()].slot]
+    }
+
+    /// The endpoints with attempts in flight or a rate of responses, in the order of their ids.
+    pub fn with_traffic(&self) -> impl Iterator<Item = &Endpoint> {
+        self.count_examined(self.with_traffic.len() as u64);
+        self.with_traffic.values().map(|&slot| &self.slots[slot])
+    }
+
+    /// The ring positions of a group's active endpoints.
+    pub(super) fn positions_of(&self, group: DeduplicationGroup) -> impl Iterator<Item = usize> + '_ {
+        let first = GroupMember { group, id: EndpointId(0) };
+        let last = GroupMember { group, id: EndpointId(u64::MAX) };
+        self.group_members.range(first..=last).filter_map(|member| self.position(member.id))
+    }
+
+    /// An endpoint that is known.
+    pub fn get(&self, id: EndpointId) -> Option<&Endpoint> {
         self.slot(id).map(|slot| &self.slots[slot])
     }
 
-    pub fn get_mut(&mut self, id: EndpointId) -> Option<&mut Server> {
+    /// An endpoint that is known. Attempts in flight are not to be changed through it.
+    pub fn get_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
         self.slot(id).map(|slot| &mut self.slots[slot])
     }
 
-    pub fn sent(&mut self, id: EndpointId, now: Micros) -> Option<&mut Server> {
+    /// Counts an attempt that is sent now. Returns its endpoint, if that is known.
+    pub fn attempt_started(&mut self, id: EndpointId, now: Micros) -> Option<&mut Endpoint> {
         let slot = self.slot(id)?;
-        self.met.insert(id, slot);
+        self.with_traffic.insert(id, slot);
         self.in_flight += 1;
-        self.slots[slot].in_flight.push_back(now);
-        self.slots.get_mut(slot)
+        let endpoint = &mut self.slots[slot];
+        endpoint.in_flight.push_back(now);
+        Some(endpoint)
     }
 
-    pub fn ended(&mut self, id: EndpointId, sent: Micros) -> Option<&mut Server> {
+    /// Stops counting an attempt that was sent at `sent_at`. Returns its endpoint, if both are known.
+    pub fn attempt_ended(&mut self, id: EndpointId, sent_at: Micros) -> Option<&mut Endpoint> {
         let slot = self.slot(id)?;
-        let nth = self.slots[slot].in_flight.iter().position(|&t| t == sent)?;
+        let endpoint = &mut self.slots[slot];
+        let index = endpoint.in_flight.iter().position(|&attempt_sent_at| attempt_sent_at == sent_at)?;
+        endpoint.in_flight.remove(index);
         self.in_flight -= 1;
-        self.slots[slot].in_flight.remove(nth);
-        self.slots.get_mut(slot)
+        Some(endpoint)
     }
 
-    /// Takes list entries in one pass in the order of ids, each with the bucket of a new or restarted server.
-    /// What is as it was is left alone. What a whole list does not name has gone.
-    pub fn take(
+    /// Applies list entries in one pass in the order of ids; a later entry for an id replaces an earlier one.
+    /// After a `snapshot`, endpoints that it lacks are removed. A new endpoint starts with the fleet's mean
+    /// response time `fleet_latency`, in microseconds.
+    pub(super) fn apply(
         &mut self,
-        whole: bool,
-        mut entries: Vec<(EndpointEntry, Bucket)>,
-        (now, latency): (Micros, f64),
+        mut listed: Vec<ListedEndpoint>,
+        snapshot: bool,
+        now: Micros,
+        fleet_latency: f64,
     ) {
-        // An id that comes twice stays in its order: the later entry counts.
-        entries.sort_by_key(|(m, _)| m.id);
-        if whole {
-            let known = self.ring.iter().map(|e| &e.1).chain(self.off.values()).map(|&k| &self.slots[k]);
-            let named = |s: &&Server| entries.binary_search_by_key(&s.told.id, |e| e.0.id).is_ok();
-            let gone = |s: &Server| {
-                (EndpointEntry { state: EndpointState::Removed, ..s.told.clone() }, s.slow_start)
-            };
-            let gone: Vec<_> = known.filter(|s| !named(s)).map(gone).collect();
-            entries.extend(gone);
-            entries.sort_by_key(|(m, _)| m.id);
+        // The sort is stable: entries for the same id keep their order.
+        listed.sort_by_key(|endpoint| endpoint.entry.id);
+        if snapshot {
+            let removed = self.removed_by(&listed);
+            listed.extend(removed);
+            listed.sort_by_key(|endpoint| endpoint.entry.id);
+        }
+        let Some(first_id) = listed.first().map(|endpoint| endpoint.entry.id) else { return };
+        let first_changed = self.ring.partition_point(|active| active.id < first_id);
+        let old_ring = self.ring.split_off(first_changed);
+        let mut not_reached = &old_ring[..];
+        for endpoint in listed {
+            let reached = not_reached.iter().take_while(|active| active.id <= endpoint.entry.id).count();
+            let (unchanged_and_this, later) = not_reached.split_at(reached);
+            self.ring.extend_from_slice(unchanged_and_this);
+            not_reached = later;
+            self.apply_next(endpoint, now, fleet_latency);
+        }
+        self.ring.extend_from_slice(not_reached);
+    }
+
+    /// Entries that remove the endpoints which a sorted snapshot lacks.
+    fn removed_by(&self, snapshot: &[ListedEndpoint]) -> Vec<ListedEndpoint> {
+        let is_listed =
+            |id: &EndpointId| snapshot.binary_search_by_key(id, |endpoint| endpoint.entry.id).is_ok();
+        let active = self.ring.iter().map(|active| active.slot);
+        let known = active.chain(self.off.values().copied()).map(|slot| &self.slots[slot]);
+        let missing = known.filter(|endpoint| !is_listed(&endpoint.entry.id));
+        let removal = |endpoint: &Endpoint| ListedEndpoint {
+            entry: EndpointEntry { state: EndpointState::Removed, ..endpoint.entry.clone() },
+            slow_start: endpoint.slow_start,
+        };
+        missing.map(removal).collect()
+    }
+
+    /// Applies an entry while the ring is rebuilt and ends at its id.
+    fn apply_next(&mut self, listed: ListedEndpoint, now: Micros, fleet_latency: f64) {
+        let known_slot = self.take_from_index(listed.entry.id);
+        let slot = known_slot.unwrap_or_else(|| self.vacant_slot());
+        let id = listed.entry.id;
+        if known_slot.is_some() {
+            self.apply_to_known(slot, listed, fleet_latency);
+        } else {
+            self.add_new(slot, listed, now, fleet_latency);
+        }
+        if self.slots[slot].is_active() {
+            self.ring.push(RingEntry { id, slot });
+        } else {
+            self.off.insert(id, slot);
+        }
+    }
+
+    /// Takes an endpoint out of the ring, if that ends with it, or of the endpoints that are not active.
+    fn take_from_index(&mut self, id: EndpointId) -> Option<usize> {
+        if let Some(last) = self.ring.pop_if(|last| last.id == id) {
+            return Some(last.slot);
+        }
+        self.off.remove(&id)
+    }
+
+    /// A slot for a new endpoint.
+    fn vacant_slot(&mut self) -> usize {
+        self.free_slots.pop().unwrap_or_else(|| {
+            self.slots.push(Endpoint::default());
+            self.slots.len() - 1
+        })
+    }
+
+    fn add_new(&mut self, slot: usize, listed: ListedEndpoint, now: Micros, fleet_latency: f64) {
+        let entry = with_valid_weight(listed.entry);
+        self.touched += 1;
+        self.insert_into_groups(&entry);
+        self.slots[slot] = Endpoint::new(entry, listed.slow_start, fleet_latency, now);
+    }
+
+    fn apply_to_known(&mut self, slot: usize, listed: ListedEndpoint, fleet_latency: f64) {
+        let endpoint = &mut self.slots[slot];
+        let mut entry = with_valid_weight(listed.entry);
+        if entry.started_at > endpoint.entry.started_at {
+            endpoint.reset_after_restart(listed.slow_start, fleet_latency);
+        }
+        // An entry that lacks the latest start, or names an earlier one, does not make the endpoint warm.
+        entry.started_at = entry.started_at.max(endpoint.entry.started_at);
+        if is_unchanged(&entry, &endpoint.entry) {
+            return;
         }
-        let first = entries.first().map_or(EndpointId(u64::MAX), |(m, _)| m.id);
-        let old = self.ring.split_off(self.ring.partition_point(|e| e.0 < first));
-        let mut old = &old[..];
-        for (mut m, slow_start) in entries {
-            let (before, after) = old.split_at(old.iter().take_while(|e| e.0 <= m.id).count());
-            self.ring.extend_from_slice(before);
-            old = after;
-            let listed = self.ring.last().is_some_and(|e| e.0 == m.id);
-            let known = if listed { self.ring.pop().map(|e| e.1) } else { self.off.remove(&m.id) };
-            let slot = known.or_else(|| self.free.pop()).unwrap_or(self.slots.len());
-            self.slots.resize_with(self.slots.len().max(slot + 1), Server::default);
-            let s = &mut self.slots[slot];
-            if known.is_none() {
-                *s = Server { told: m.clone(), latency, heard: now, slow_start, ..Server::default() };
-            }
-            m.weight = if m.weight.is_finite() && m.weight > 0.0 { m.weight } else { 1.0 };
-            if m.started_at > s.told.started_at {
-                (s.strikes, s.breaks, s.ejected, s.slow_start, s.latency) = (0, 0, 0, slow_start, latency);
-            }
-            m.started_at = m.started_at.max(s.told.started_at);
-            let told = |m: &EndpointEntry| (m.zone, m.cell, m.weight, m.state, m.started_at);
-            if known.is_none() || told(&m) != told(&s.told) {
-                self.touched += 1;
-                let old = groups(&std::mem::replace(&mut s.told, m));
-                let moved = known.is_none() || old != groups(&s.told);
-                old.iter().filter(|_| moved).for_each(|group| _ = self.groups.remove(group));
-                let asked = |group: &(bool, u32, EndpointId)| moved && self.grouped[usize::from(group.0)];
-                self.groups.extend(groups(&s.told).into_iter().filter(asked));
-            }
-            if s.told.state == EndpointState::Active {
-                self.ring.push((s.told.id, slot));
-            } else {
-                self.off.insert(s.told.id, slot);
-            }
+        let old = std::mem::replace(&mut endpoint.entry, entry.clone());
+        self.touched += 1;
+        if (old.zone, old.cell) != (entry.zone, entry.cell) {
+            self.remove_from_groups(&old);
+            self.insert_into_groups(&entry);
         }
-        self.ring.extend_from_slice(old);
     }
 
-    /// Danger: app servers are ever new, and what is kept of each grows without end. One goes once it is
-    /// removed and nothing is out there. An old rate of answers is lost in rounding when all are added up.
+    /// Forgets removed endpoints without attempts in flight: endpoints are ever new, and what is kept of each
+    /// would grow without end. Of a long list it forgets old traffic, too.
+    // At the join: `forget_removed`.
     pub fn forget(&mut self, now: Micros) {
-        let goes = |s: &Server| s.told.state == EndpointState::Removed && s.in_flight.is_empty();
-        let gone: Vec<_> = self.off.values().copied().filter(|&slot| goes(&self.slots[slot])).collect();
-        for slot in gone {
-            let s = std::mem::take(&mut self.slots[slot]);
-            groups(&s.told).iter().for_each(|group| _ = self.groups.remove(group));
-            self.off.remove(&s.told.id);
-            self.met.remove(&s.told.id);
-            self.free.push(slot);
+        self.forget_removed();
+        self.forget_old_traffic(now);
+    }
+
+    fn forget_removed(&mut self) {
+        let is_over = |endpoint: &Endpoint| {
+            endpoint.entry.state == EndpointState::Removed && endpoint.in_flight.is_empty()
+        };
+        let over: Vec<usize> =
+            self.off.values().copied().filter(|&slot| is_over(&self.slots[slot])).collect();
+        for slot in over {
+            let endpoint = std::mem::take(&mut self.slots[slot]);
+            self.remove_from_groups(&endpoint.entry);
+            self.off.remove(&endpoint.entry.id);
+            self.with_traffic.remove(&endpoint.entry.id);
+            self.free_slots.push(slot);
         }
-        let (many, slots) = (self.met.len() > LOOKS, &self.slots);
-        let counts = |s: &Server| !s.in_flight.is_empty() || s.done.get(now, DONE_SPAN) > 1e-20;
-        self.met.retain(|_, slot| !many || counts(&slots[*slot]));
     }
+
+    fn forget_old_traffic(&mut self, now: Micros) {
+        if self.with_traffic.len() <= MIN_WITH_TRAFFIC {
+            return;
+        }
+        let slots = &self.slots;
+        self.with_traffic.retain(|_, slot| {
+            let endpoint = &slots[*slot];
+            !endpoint.in_flight.is_empty() || endpoint.completion_rate(now) > NEGLIGIBLE_COMPLETION_RATE
+        });
+    }
+
+    fn insert_into_groups(&mut self, entry: &EndpointEntry) {
+        for group in self.groups_in_use.of(entry) {
+            self.group_members.insert(GroupMember { group, id: entry.id });
+        }
+    }
+
+    fn remove_from_groups(&mut self, entry: &EndpointEntry) {
+        for group in self.groups_in_use.of(entry) {
+            self.group_members.remove(&GroupMember { group, id: entry.id });
+        }
+    }
+
+    /// The ring position of an endpoint, if it is active.
+    fn position(&self, id: EndpointId) -> Option<usize> {
+        self.ring.binary_search_by_key(&id, |active| active.id).ok()
+    }
+
+    fn slot(&self, id: EndpointId) -> Option<usize> {
+        match self.position(id) {
+            Some(position) => Some(self.ring[position].slot),
+            None => self.off.get(&id).copied(),
+        }
+    }
+
+    fn count_examined(&self, endpoints: u64) {
+        self.looked.set(self.looked.get() + endpoints);
+    }
+}
+
+/// The entry with a weight of 1 where it has none that can be used.
+fn with_valid_weight(mut entry: EndpointEntry) -> EndpointEntry {
+    if !(entry.weight.is_finite() && entry.weight > 0.0) {
+        entry.weight = 1.0;
+    }
+    entry
+}
+
+/// Whether two entries of an endpoint agree in all that decisions depend on.
+fn is_unchanged(new: &EndpointEntry, old: &EndpointEntry) -> bool {
+    new.zone == old.zone
+        && new.cell == old.cell
+        && new.weight == old.weight
+        && new.state == old.state
+        && new.started_at == old.started_at
 }
--- a/src/decision/balancer/mod.rs
+++ b/src/decision/balancer/mod.rs
@@ -1,40 +1,42 @@
-//! Choice of an endpoint for an attempt: the subset, health, cold starts.
-
-pub(super) mod endpoint_table;
-
-use std::collections::{BTreeMap, VecDeque};
-
-use super::estimators::{uniform, Bucket, Tally};
-use super::load_shedding::DONE_SPAN;
-use super::{DeduplicationScope, EndpointEntry, EndpointId, Idempotency, Micros, Outcome, Settings};
-use endpoint_table::{Roster, Server, LOOKS};
-
-/// First ejection of a suspect server; doubles up to the last.
-const EJECT: Micros = 400_000;
-const EJECT_MAX: Micros = 6_400_000;
-/// A cold server no slower than the fleet gets this much over its sure share; at most half the fall multiple.
-const COLD_PACE: f64 = 1.5;
-/// How many nodes share a server at least: enough that their loads even out. And how many servers a node uses
-/// at least: enough that some are left when a third is lost.
-const COVER: usize = 24;
-const SUBSET_LEAST: usize = 12;
-/// How soon own counts outweigh the lot, in attempts out at each server.
-const SEEN: f64 = 60.0;
-/// How long failures by kind are remembered, and how much a sure failure adds to a server's cost.
-pub(super) const TALLY_SPAN: f64 = 15.0e6;
-const FAIL_COST: f64 = 10.0;
-/// The kind under which attempts are tallied that got no answer in time, whatever their class and plan.
-pub(super) const LOST: usize = usize::MAX;
-
-/// Weight of a new latency sample in the EWMAs, and the latency assumed before the first answer.
-const LATENCY_GAIN: f64 = 0.1;
-const LATENCY_START: f64 = 100_000.0;
-/// Breaks in a row eject a server when so many would come by chance, at the fleet's own share of breaks, less
-/// often than this; so many always do.
-const BREAK_CHANCE: f64 = 0.01;
-const BREAKS_MOST: u32 = 3;
-
-/// Where an endpoint stands: what is kept of it once it may be gone.
+//! Load balancing: which endpoint an attempt is sent to, by subset, health, warm-up and cost.
+//!
+//! Reading order: this file, then `selection` (the rules for one endpoint), then `subset`, `slow_start`,
+//! `outlier_detection` and `cost`, each with one of the rules. `endpoint` and `endpoint_table` hold the
+//! state.
+
+mod cost;
+mod deduplication_group;
+mod endpoint;
+mod endpoint_table;
+mod failure_shares;
+mod latency_estimator;
+mod outlier_detection;
+mod selection;
+mod slow_start;
+mod subset;
+
+use super::estimators::RandomSource;
+use super::{EndpointEntry, EndpointId, EndpointUpdateKind, Idempotency, Micros, Outcome, Settings};
+use cost::CostModel;
+use deduplication_group::DeduplicationGroup;
+use endpoint_table::{EndpointTable, ListedEndpoint};
+use failure_shares::{failures_to_record, FailureShares};
+use latency_estimator::LatencyEstimator;
+use outlier_detection::{no_response_since, OutlierDetector};
+use selection::{Candidate, Selector};
+use slow_start::{warm_fraction, SlowStart};
+use subset::Subset;
+
+pub(super) use endpoint::{Endpoint, COMPLETION_TIME_CONSTANT};
+pub(super) use failure_shares::FAILURE_TIME_CONSTANT;
+
+// Old name, removed at the join.
+pub(super) const TALLY_SPAN: f64 = FAILURE_TIME_CONSTANT;
+
+/// An endpoint is about as fast as the others if its response time is below this multiple of theirs.
+const TYPICAL_LATENCY_MULTIPLE: f64 = 2.0;
+
+/// Where an endpoint stands: what is kept of it once it may have been removed.
 #[derive(Clone, Copy)]
 pub(super) struct Placement {
     pub zone: u32,
@@ -43,274 +45,323 @@
 
 /// What an endpoint is wanted for.
 pub(super) struct SelectionRequest {
+    /// Index of the request's class in the settings.
     pub class: usize,
+    /// Index of the request's plan in the settings.
     pub plan: usize,
-    /// Where the first attempt that may have run went, if there was one.
+    /// Where the first attempt that may have run was sent, if there was one.
     pub first_possible_run: Option<Placement>,
-    /// An endpoint that is not to be chosen.
+    /// An endpoint that is not to be selected.
     pub exclude: Option<EndpointId>,
 }
 
-/// The endpoint that was chosen.
+/// The endpoint that was selected.
 #[derive(Clone, Copy)]
 pub(super) struct Selection {
     pub endpoint: EndpointId,
+    /// The share of its full capacity that it surely has, 0 to 1.
     pub warm_fraction: f64,
 }
 
 /// An attempt that ended at an endpoint.
 pub(super) struct AttemptResult {
     pub endpoint: EndpointId,
+    /// Index of the request's class in the settings.
     pub class: usize,
+    /// Index of the request's plan in the settings.
     pub plan: usize,
     pub sent_at: Micros,
     pub outcome: Outcome,
+    /// Time since it was sent.
     pub elapsed: Micros,
 }
 
-/// What an ended attempt tells the load shedder.
+/// What an ended attempt says about the load.
 pub(super) struct RecordedAttempt {
     /// The response time, if the endpoint is about as fast as the others.
     pub typical_response_time: Option<Micros>,
 }
 
-/// The endpoints, their health and load, and the choice among them.
+/// How much work was done since the start, to see that it does not grow with the fleet.
+#[allow(dead_code)] // Used from the join on.
+pub(super) struct WorkCounters {
+    /// Endpoints examined for requests and ticks.
+    pub endpoints_examined: u64,
+    /// Entries of the endpoint list that were new or changed something.
+    pub entries_changed: u64,
+}
+
+/// The endpoints, their health and load, and the selection among them.
 #[derive(Default)]
 pub(super) struct Balancer {
-    pub servers: Roster,
+    // At the join: private, `endpoints`.
+    pub servers: EndpointTable,
+    // Old name of `expected_latency()`, removed at the join.
     pub latency: f64,
-    deviation: f64,
-    /// How attempts ended over the fleet, by kind.
-    tally: BTreeMap<usize, Tally>,
-    /// The share of answers and breaks over the fleet that are breaks.
-    breaks: Tally,
-    /// What a warm server of the subset was due here so far, in millionths of a request; the subset's warmth.
-    virtual_time: Micros,
-    subset_warmth: f64,
+    latency_estimator: LatencyEstimator,
+    /// How attempts end over the fleet.
+    fleet_failures: FailureShares,
+    outlier_detector: OutlierDetector,
+    slow_start: SlowStart,
 }
 
 impl Balancer {
     /// A balancer that knows no endpoints yet.
     pub fn new(settings: &Settings) -> Self {
+        let latency_estimator = LatencyEstimator::default();
         Balancer {
-            servers: Roster::new(&settings.classes),
-            latency: LATENCY_START,
-            deviation: LATENCY_START / 2.0,
+            servers: EndpointTable::new(&settings.classes),
+            latency: latency_estimator.mean(),
+            latency_estimator,
             ..Balancer::default()
         }
     }
 
-    /// Takes in entries of the endpoint list.
-    pub fn update(&mut self, snapshot: bool, entries: Vec<EndpointEntry>, now: Micros, random: &mut u64) {
-        // Danger: a whole request for free at each of a hundred nodes pushes a cold server over at once.
-        let mut slow_start = || Bucket { store: uniform(random), at: self.virtual_time };
-        let entries = entries.into_iter().map(|m| (m, slow_start())).collect();
-        self.servers.take(snapshot, entries, (now, self.latency));
+    /// Applies an update of the endpoint list.
+    pub fn apply_update(
+        &mut self,
+        kind: EndpointUpdateKind,
+        entries: Vec<EndpointEntry>,
+        now: Micros,
+        random: &mut RandomSource,
+    ) {
+        let is_snapshot = match kind {
+            EndpointUpdateKind::Snapshot | EndpointUpdateKind::StaleSnapshot => true,
+            EndpointUpdateKind::Delta => false,
+            EndpointUpdateKind::WatchLost => return,
+        };
+        // Each entry draws a random number, whether or not its endpoint is new.
+        let listed = entries
+            .into_iter()
+            .map(|entry| ListedEndpoint { entry, slow_start: self.slow_start.new_bucket(random) })
+            .collect();
+        self.servers.apply(listed, is_snapshot, now, self.latency_estimator.mean());
     }
 
-    /// A request has been handed to an endpoint, or waits for one.
+    /// Selects the endpoint where an attempt should do best, if any may be sent it.
+    ///
+    /// The endpoints of the node's subset are examined; of a short list all of it. An endpoint is passed over
+    /// when deduplication binds the request to others, when it is warming up and not due a request, or when
+    /// it is recovering and this is not the request to try it with. Of the others the best is selected by
+    /// availability, membership in the subset, warm-up and cost, in this order. If none is available,
+    /// endpoints beyond the subset are examined as well.
+    pub fn select(
+        &mut self,
+        settings: &Settings,
+        now: Micros,
+        random: &mut RandomSource,
+        request: &SelectionRequest,
+    ) -> Option<Selection> {
+        let subset = self.subset(settings, now);
+        self.slow_start.set_subset_capacity(subset.capacity());
+        let selector = self.selector(settings, now, request, &subset);
+        let mut best = selector.best_of_first(random);
+        if subset.leaves_a_rest() && !best.as_ref().is_some_and(Candidate::is_available) {
+            best = selector.or_better_of_rest(best, random);
+        }
+        best.map(|best| Selection { endpoint: best.endpoint, warm_fraction: best.warm_fraction })
+    }
+
+    fn subset(&self, settings: &Settings, now: Micros) -> Subset {
+        let fleet_latency = self.latency_estimator.mean();
+        Subset::at(now, settings, &self.servers, |endpoint| {
+            warm_fraction(&settings.warm_up, endpoint, fleet_latency, now)
+        })
+    }
+
+    fn selector<'a>(
+        &'a self,
+        settings: &'a Settings,
+        now: Micros,
+        request: &SelectionRequest,
+        subset: &'a Subset,
+    ) -> Selector<'a> {
+        let class = &settings.classes[request.class];
+        let fleet_latency = self.latency_estimator.mean();
+        let endpoints = &self.servers;
+        Selector {
+            settings,
+            now,
+            endpoints,
+            subset,
+            slow_start: &self.slow_start,
+            fleet_latency,
+            latency_bound: self.latency_bound(),
+            cost_model: CostModel::new(
+                settings,
+                now,
+                request,
+                endpoints,
+                fleet_latency,
+                &self.fleet_failures,
+            ),
+            bound_to: request
+                .first_possible_run
+                .and_then(|placement| DeduplicationGroup::binding(class, placement)),
+            exclude: request.exclude,
+            may_test_recovery: class.idempotency == Idempotency::Safe,
+        }
+    }
+
+    /// A request has been passed on to an endpoint, or waits for one.
     pub fn request_launched(&mut self) {
-        self.virtual_time += (1e6 / self.subset_warmth.max(1.0)) as Micros;
+        self.slow_start.request_launched();
     }
 
-    /// An attempt begins at the chosen endpoint. None if the endpoint is not known any more.
+    /// An attempt starts at the selected endpoint. None if the endpoint is not known any more.
     pub fn attempt_started(&mut self, selection: Selection, now: Micros) -> Option<Placement> {
-        let s = self.servers.sent(selection.endpoint, now)?;
-        s.slow_start.refill(self.virtual_time, selection.warm_fraction, 1.5);
-        s.slow_start.store -= 1.0;
-        Some(Placement { zone: s.told.zone, cell: s.told.cell })
+        let endpoint = self.servers.attempt_started(selection.endpoint, now)?;
+        self.slow_start.charge(endpoint, selection.warm_fraction);
+        Some(Placement { zone: endpoint.entry.zone, cell: endpoint.entry.cell })
     }
 
-    /// Records how an attempt ended. None if the endpoint is not known any more.
+    /// Records how an attempt ended. None if the endpoint or the attempt is not known any more.
+    // At the join: without the settings.
     pub fn attempt_ended(
         &mut self,
-        settings: &Settings,
+        _settings: &Settings,
         now: Micros,
-        end: &AttemptResult,
+        result: &AttemptResult,
     ) -> Option<RecordedAttempt> {
-        let bound = self.latency_bound();
-        let (server, sent) = (end.endpoint, end.sent_at);
-        let mut typical_response_time = None;
-        let s = self.servers.ended(server, sent)?;
-        // Danger: servers that fail one class, or turn one plan away, and serve the rest. They are passed
-        // over for that kind alone, by what else is known of it (outlier ejection by success rate).
-        let (ok, bad) =
-            (end.outcome == Outcome::Ok, matches!(end.outcome, Outcome::Error | Outcome::Rejected));
-        // Danger: servers that lose part of what they take and answer the rest. An answer clears all strikes,
-        // and a node that meets each server seldom would learn of each loss anew.
-        let unanswered = matches!(end.outcome, Outcome::TimedOut | Outcome::Cancelled);
-        let lost = unanswered && s.heard < sent && end.elapsed as f64 > bound;
-        let kinds = [(end.class, bad), (settings.classes.len() + end.plan, bad), (LOST, lost)];
-        for (kind, failed) in kinds.into_iter().filter(|&(_, failed)| failed || ok) {
-            for tally in [&mut s.tally, &mut self.tally] {
-                tally.entry(kind).or_default().add(now, f64::from(u8::from(failed)), TALLY_SPAN);
-            }
-        }
-        let quiet = s.heard < sent && sent >= s.ejected;
-        // Danger: connections that break at all servers alike (a lossy network, servers that close idle ones
-        // early): ejected in turn for one break each, most of a fleet that answers would be out. So a break
-        // tells of a server by how rare breaks are, and by no answer since. Where breaks are rare one is
-        // enough. It does harm where servers die while many others break: each takes two or three more.
-        let common = self.breaks.mean(now, 0.0, TALLY_SPAN);
-        let broke = end.outcome == Outcome::Reset;
-        if broke || matches!(end.outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
-            self.breaks.add(now, if broke { 1.0 } else { 0.0 }, TALLY_SPAN);
-            s.breaks = if broke { s.breaks + 1 } else { 0 };
+        let latency_bound = self.latency_bound();
+        let endpoint = self.servers.attempt_ended(result.endpoint, result.sent_at)?;
+        let unanswered = is_unanswered(endpoint, result, latency_bound);
+        for (kind, failed) in failures_to_record(result.class, result.plan, result.outcome, unanswered) {
+            endpoint.failures.record(kind, failed, now);
+            self.fleet_failures.record(kind, failed, now);
         }
-        let dead = s.breaks >= BREAKS_MOST || common.powi(s.breaks as i32) < BREAK_CHANCE;
-        match end.outcome {
+        let must_eject = self.outlier_detector.must_eject(endpoint, result, now);
+        let mut typical_response_time = None;
+        match result.outcome {
             Outcome::Ok => {
-                let sample = end.elapsed as f64;
-                self.deviation += ((sample - self.latency).abs() - self.deviation) * LATENCY_GAIN / 2.0;
-                self.latency += (sample - self.latency) * LATENCY_GAIN / 2.0;
-                if s.latency < 2.0 * self.latency {
-                    typical_response_time = Some(end.elapsed);
+                self.latency_estimator.observe(result.elapsed);
+                self.latency = self.latency_estimator.mean();
+                if has_typical_latency(endpoint, self.latency_estimator.mean()) {
+                    typical_response_time = Some(result.elapsed);
                 }
-                s.latency += (sample - s.latency) * LATENCY_GAIN;
-                s.done.add(now, 1.0, DONE_SPAN);
-                s.answered = s.answered.max(sent);
-                (s.heard, s.strikes, s.ejected) = (now, 0, s.ejected.min(now));
+                endpoint.record_success(result.sent_at, result.elapsed, now);
             }
-            // Danger: a server that fails fast looks idle and quick. It is alive, and no more.
-            Outcome::Error => s.heard = now,
-            // What broke has left the server too, and overload is judged by the rate at which requests leave.
-            Outcome::Reset if !dead => s.done.add(now, 1.0, DONE_SPAN),
-            Outcome::ConnectFailed | Outcome::Reset => self.eject(server, now),
-            Outcome::TimedOut | Outcome::Cancelled if quiet => self.eject(server, now),
+            // An endpoint that fails fast looks idle and quick. The response shows that it is alive, and no
+            // more.
+            Outcome::Error => endpoint.last_response_at = now,
+            // A request whose connection was reset has left the endpoint, and overload is judged by the rate
+            // at which requests leave.
+            Outcome::Reset if !must_eject => endpoint.record_completion(now),
             _ => {}
         }
+        if must_eject {
+            endpoint.eject(now);
+        }
         Some(RecordedAttempt { typical_response_time })
     }
 
-    /// Whether an attempt waits too long at an endpoint that answers nobody, or has been ejected.
-    pub fn is_stuck(&self, server: EndpointId, sent: Micros, now: Micros) -> bool {
-        let silent = self.servers.get(server).is_some_and(|s| self.silent(s, now) || s.ejected > now);
-        silent && now.saturating_sub(sent) as f64 > self.latency_bound()
+    /// Whether an attempt in flight has waited too long at an endpoint that is ejected or answers nobody.
+    pub fn is_stuck(&self, endpoint: EndpointId, sent_at: Micros, now: Micros) -> bool {
+        let latency_bound = self.latency_bound();
+        let is_unavailable = self
+            .servers
+            .get(endpoint)
+            .is_some_and(|endpoint| endpoint.is_unresponsive(latency_bound, now) || endpoint.is_ejected(now));
+        is_unavailable && now.saturating_sub(sent_at) as f64 > latency_bound
     }
 
-    /// Ejects all endpoints that answer nobody.
-    pub fn eject_silent(&mut self, now: Micros) {
-        let silent: Vec<_> = self.servers.met().filter(|s| self.silent(s, now)).map(|s| s.told.id).collect();
-        silent.into_iter().for_each(|key| self.eject(key, now));
+    /// Ejects an endpoint, unless it is ejected already.
+    pub fn eject(&mut self, id: EndpointId, now: Micros) {
+        if let Some(endpoint) = self.servers.get_mut(id) {
+            endpoint.eject(now);
+        }
     }
 
-    /// The share of its capacity that a server surely has by now.
-    fn warmth(&self, settings: &Settings, s: &Server, now: Micros) -> f64 {
-        let rules = &settings.warm_up;
-        if s.told.started_at == 0 || rules.duration == 0 {
-            return 1.0;
+    /// Ejects all endpoints that answer nobody.
+    pub fn eject_unresponsive(&mut self, now: Micros) {
+        let latency_bound = self.latency_bound();
+        let traffic = self.servers.with_traffic();
+        let unresponsive: Vec<EndpointId> = traffic
+            .filter(|endpoint| endpoint.is_unresponsive(latency_bound, now))
+            .map(|endpoint| endpoint.entry.id)
+            .collect();
+        for id in unresponsive {
+            self.eject(id, now);
         }
-        let age = now.saturating_sub(s.told.started_at) as f64 / rules.duration as f64;
-        let (pace, quick) = (COLD_PACE.min(rules.overload_multiple / 2.0).max(1.0), s.latency < self.latency);
-        ((if quick { pace } else { 1.0 }) * (rules.initial_fraction + (1.0 - rules.initial_fraction) * age))
-            .min(1.0)
     }
 
-    /// An attempt out for longer than this is past what the fleet usually needs.
-    pub(super) fn latency_bound(&self) -> f64 {
-        self.latency + 4.0 * self.deviation
+    /// The mean response time of the fleet in microseconds.
+    #[allow(dead_code)] // Called from the join on.
+    pub fn expected_latency(&self) -> f64 {
+        self.latency_estimator.mean()
+    }
+
+    /// An attempt in flight for longer than this many microseconds is past what the fleet usually needs.
+    pub fn latency_bound(&self) -> f64 {
+        self.latency_estimator.upper_bound()
+    }
+
+    /// The endpoints with traffic that are in order and about as fast as the others, in the order of their
+    /// ids. Overload is judged by them.
+    pub fn typical_endpoints(&self, now: Micros) -> impl Iterator<Item = &Endpoint> {
+        let fleet_latency = self.latency_estimator.mean();
+        let latency_bound = self.latency_bound();
+        self.servers.with_traffic().filter(move |endpoint| {
+            endpoint.is_active()
+                && endpoint.consecutive_failures == 0
+                && has_typical_latency(endpoint, fleet_latency)
+                && !endpoint.is_unresponsive(latency_bound, now)
+        })
+    }
+
+    /// Forgets removed endpoints without attempts in flight, and old traffic.
+    #[allow(dead_code)] // Called from the join on.
+    pub fn forget_removed(&mut self, now: Micros) {
+        self.servers.forget(now);
+    }
+
+    /// How many endpoints something is kept of.
+    #[allow(dead_code)] // Called from the join on.
+    pub fn retained_endpoints(&self) -> usize {
+        self.servers.retained_count()
+    }
+
+    /// How much work was done since the start.
+    #[allow(dead_code)] // Called from the join on.
+    pub fn work_counters(&self) -> WorkCounters {
+        WorkCounters {
+            endpoints_examined: self.servers.endpoints_examined(),
+            entries_changed: self.servers.entries_changed(),
+        }
     }
 
-    /// Silence while others answer, by the oldest attempt out since the last ejection. Danger: what hung
-    /// before, and may not be sent again, would keep a server shut long after it has recovered.
-    pub(super) fn silent(&self, s: &Server, now: Micros) -> bool {
-        let Some(&oldest) = s.in_flight.iter().find(|&&sent| sent >= s.ejected) else { return false };
-        let since = now.saturating_sub(oldest.max(s.heard)) as f64;
-        since > self.latency_bound() * if s.in_flight.len() > 2 { 1.0 } else { 2.0 }
+    // Old name, removed at the join.
+    pub fn update(&mut self, snapshot: bool, entries: Vec<EndpointEntry>, now: Micros, random: &mut u64) {
+        let kind = if snapshot { EndpointUpdateKind::Snapshot } else { EndpointUpdateKind::Delta };
+        RandomSource::with_state(random, |random| self.apply_update(kind, entries, now, random));
     }
 
-    /// The server where an attempt should do best, if any may take it, and how warm that is.
-    /// A node sends to a part of the servers: deterministic subsetting. Danger: at a hundred nodes each would
-    /// meet every server so seldom that it pays for a handshake each time and learns of each only by being
-    /// harmed. The ids, in the same order at all nodes, are shared out by the nodes' numbers, so that each
-    /// server is in as many subsets as any other. The next ones stand in for those that are ejected.
-    pub(super) fn choose(
+    // Old name, removed at the join.
+    pub fn choose(
         &mut self,
         settings: &Settings,
         now: Micros,
         random: &mut u64,
         wanted: &SelectionRequest,
     ) -> Option<Selection> {
-        let class = &settings.classes[wanted.class];
-        let (safe, by_cell) =
-            (class.idempotency == Idempotency::Safe, class.deduplication_scope == DeduplicationScope::Cell);
-        let ran = wanted.first_possible_run.filter(|_| {
-            class.idempotency == Idempotency::Keyed && class.deduplication_scope != DeduplicationScope::All
-        });
-        let bound = ran.map(|place| if by_cell { place.cell } else { place.zone });
-        let (listed, nodes) = (self.servers.ring.len(), settings.node_count.max(1) as usize);
-        let most = (listed * COVER).div_ceil(nodes).max(SUBSET_LEAST);
-        let first = settings.node_index as usize * listed / nodes % listed.max(1);
-        let round = (first..first + listed).map(|place| self.servers.at(place)).enumerate();
-        let subset = round.filter(|(_, s)| s.ejected <= now).take(most);
-        let (reach, warm) =
-            subset.fold((0, 0.0), |(_, warm), (n, s)| (n + 1, warm + self.warmth(settings, s, now)));
-        let inside = |place: usize| (place + listed - first) % listed < reach;
-        self.subset_warmth = warm;
-        // Danger: a node with next to nothing out would always take the largest server. The less its own
-        // counts tell, the more the lot decides: exponential, so that servers are drawn by their size.
-        let blind = 1.0 / (1.0 + SEEN * self.servers.in_flight as f64 / listed.max(1) as f64);
-        let common = |kind| (kind, self.tally.get(&kind).map_or(0.0, |t| t.mean(now, 0.0, TALLY_SPAN)));
-        let kinds = [wanted.class, settings.classes.len() + wanted.plan, LOST].map(common);
-        let failing = kinds.iter().any(|k| k.1 > 0.01);
-        let mut best: Option<((bool, bool, bool, f64), _)> = None;
-        let mut looks = VecDeque::from_iter(if listed <= LOOKS { 0..listed } else { first..first + reach });
-        let mut rest = listed - looks.len();
-        loop {
-            let Some(place) = looks.pop_front() else {
-                // Danger: neighbours on the ring fall together. So where nobody in the subset is open, some
-                // all round it are looked at; for a repeat that is bound to a group all of that.
-                if std::mem::take(&mut rest) == 0 || best.is_some_and(|((closed, ..), _)| !closed) {
-                    break;
-                }
-                let step = (listed - reach).div_ceil(LOOKS);
-                let from = reach + (uniform(random) * step as f64) as usize;
-                looks = match bound {
-                    Some(group) => self.servers.group(by_cell, group).filter(|&k| !inside(k)).collect(),
-                    None => (from..listed).step_by(step).map(|k| first + k).collect(),
-                };
-                continue;
-            };
-            let s = self.servers.at(place);
-            let group = if by_cell { s.told.cell } else { s.told.zone };
-            if bound.is_some_and(|bound| bound != group) || Some(s.told.id) == wanted.exclude {
-                continue;
-            }
-            let warmth = self.warmth(settings, s, now);
-            // Danger: a cold server pushed over. This node's 1/n part of the guaranteed share, counted in
-            // what a warm one was due meanwhile (smoothed, a rise counts for a time before it), is all it
-            // gets. By cost it always loses to the best, and the warm ones drown: it goes first once due.
-            let turns = self.virtual_time.saturating_sub(s.slow_start.at) as f64 / 1e6;
-            if warmth < 1.0 && s.slow_start.store + warmth * turns < 1.0 {
-                continue;
-            }
-            let near = s.ejected <= now && inside(place);
-            let due = near && warmth < 1.0 && s.strikes == 0;
-            let closed = s.ejected > now || self.silent(s, now);
-            if !closed && s.strikes > 0 && (!safe || s.in_flight.back().is_some_and(|&at| at >= s.ejected)) {
-                continue;
-            }
-            let load = s.in_flight.iter().filter(|&&sent| sent >= s.ejected).count() as f64;
-            let slowness = (s.latency / self.latency).clamp(0.25, 4.0);
-            let lot = -(1.0 - uniform(random)).ln();
-            let cost = slowness * (load + 1.0 - blind + blind * lot) / (s.told.weight * warmth.max(0.05));
-            let far = if s.told.zone == settings.zone { 1.0 } else { 1.0 + 2.0 * settings.cross_zone_cost };
-            let risk = |(kind, prior)| s.tally.get(&kind).map_or(prior, |t| t.mean(now, prior, TALLY_SPAN));
-            let [class, plan, lost] = if failing { kinds.map(risk) } else { [0.0; 3] };
-            // Where a node always has work out at a server, silence shows by itself.
-            let fails = class.max(plan).max(lost * (2.0 * blind).min(1.0));
-            let cost = cost * far * (1.0 + FAIL_COST * fails).powi(2);
-            let order = (closed, !near, !due, cost);
-            if best.is_none_or(|(b, _)| order < b) {
-                best = Some((order, (s.told.id, warmth)));
-            }
-        }
-        best.map(|(_, (endpoint, warm_fraction))| Selection { endpoint, warm_fraction })
+        RandomSource::with_state(random, |random| self.select(settings, now, random, wanted))
     }
 
-    pub(super) fn eject(&mut self, key: EndpointId, now: Micros) {
-        let Some(s) = self.servers.get_mut(key).filter(|s| s.ejected <= now) else { return };
-        s.ejected = now + (EJECT << s.strikes.min(8)).min(EJECT_MAX);
-        s.strikes += 1;
+    // Old name, removed at the join.
+    pub fn eject_silent(&mut self, now: Micros) {
+        self.eject_unresponsive(now);
     }
 }
+
+/// Whether an endpoint is about as fast as the fleet, whose mean response time is given.
+fn has_typical_latency(endpoint: &Endpoint, fleet_latency: f64) -> bool {
+    endpoint.latency < TYPICAL_LATENCY_MULTIPLE * fleet_latency
+}
+
+/// Whether an attempt went without a response for longer than the fleet usually needs, at an endpoint that
+/// has sent no response since.
+fn is_unanswered(endpoint: &Endpoint, result: &AttemptResult, latency_bound: f64) -> bool {
+    matches!(result.outcome, Outcome::TimedOut | Outcome::Cancelled)
+        && no_response_since(endpoint, result.sent_at)
+        && result.elapsed as f64 > latency_bound
+}
--- /dev/null
+++ b/src/decision/balancer/selection.rs
@@ -0,0 +1,182 @@
+//! The rules by which one endpoint is preferred over another for an attempt.
+
+use super::cost::CostModel;
+use super::deduplication_group::DeduplicationGroup;
+use super::endpoint::Endpoint;
+use super::endpoint_table::EndpointTable;
+use super::outlier_detection::Health;
+use super::slow_start::{self, SlowStart};
+use super::subset::Subset;
+use crate::decision::estimators::RandomSource;
+use crate::decision::{EndpointId, Micros, Settings};
+
+/// Whether an endpoint is thought to respond. The lesser is preferred.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum Availability {
+    Available,
+    Unavailable,
+}
+
+/// Where an endpoint is. The lesser is preferred.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum Location {
+    InSubset,
+    Elsewhere,
+}
+
+/// Whether it is an endpoint's turn. The lesser is preferred.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum Turn {
+    /// It is warming up and due a request: by cost it would always lose to the best of the warm ones, which
+    /// would then drown.
+    WarmingUpAndDue,
+    Ordinary,
+}
+
+/// How well an endpoint suits an attempt. The least is preferred; the fields count in this order.
+#[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
+struct Preference {
+    availability: Availability,
+    location: Location,
+    turn: Turn,
+    cost: f64,
+}
+
+/// An endpoint that may be sent an attempt.
+#[derive(Clone, Copy)]
+pub(super) struct Candidate {
+    pub endpoint: EndpointId,
+    pub warm_fraction: f64,
+    preference: Preference,
+}
+
+impl Candidate {
+    /// Whether it is thought to respond.
+    pub fn is_available(&self) -> bool {
+        self.preference.availability == Availability::Available
+    }
+
+    /// The preferred of two candidates; the earlier if they are alike.
+    fn or_better(best: Option<Candidate>, other: Candidate) -> Candidate {
+        match best {
+            Some(best) if other.preference < best.preference => other,
+            Some(best) => best,
+            None => other,
+        }
+    }
+}
+
+/// Selects among endpoints for one attempt.
+pub(super) struct Selector<'a> {
+    pub settings: &'a Settings,
+    pub now: Micros,
+    pub endpoints: &'a EndpointTable,
+    pub subset: &'a Subset,
+    pub slow_start: &'a SlowStart,
+    /// Mean response time of the fleet and the bound past which a response is late, in microseconds.
+    pub fleet_latency: f64,
+    pub latency_bound: f64,
+    pub cost_model: CostModel<'a>,
+    /// The group of endpoints that the attempt is bound to, if an earlier one may have run.
+    pub bound_to: Option<DeduplicationGroup>,
+    /// An endpoint that is not to be selected.
+    pub exclude: Option<EndpointId>,
+    /// Whether a request of this class may show if an endpoint has recovered.
+    pub may_test_recovery: bool,
+}
+
+impl Selector<'_> {
+    /// The best of the endpoints that are examined for each attempt.
+    pub fn best_of_first(&self, random: &mut RandomSource) -> Option<Candidate> {
+        self.best_of(self.subset.positions_to_examine(), None, random)
+    }
+
+    /// The better of `best` and the endpoints beyond the subset: for an attempt that is bound to a group all
+    /// of the group, else a sample.
+    pub fn or_better_of_rest(&self, best: Option<Candidate>, random: &mut RandomSource) -> Option<Candidate> {
+        // The sample draws a random number though a bound attempt does not use it.
+        let sample = self.subset.sample_of_rest(random);
+        match self.bound_to {
+            Some(group) => {
+                let of_group = self.endpoints.positions_of(group);
+                let beyond_subset = of_group.filter(|&position| !self.subset.contains(position));
+                self.best_of(beyond_subset, best, random)
+            }
+            None => self.best_of(sample, best, random),
+        }
+    }
+
+    fn best_of(
+        &self,
+        positions: impl Iterator<Item = usize>,
+        mut best: Option<Candidate>,
+        random: &mut RandomSource,
+    ) -> Option<Candidate> {
+        for position in positions {
+            if let Some(candidate) = self.candidate(position, random) {
+                best = Some(Candidate::or_better(best, candidate));
+            }
+        }
+        best
+    }
+
+    /// The endpoint at a ring position as a candidate, if it may be sent the attempt.
+    fn candidate(&self, position: usize, random: &mut RandomSource) -> Option<Candidate> {
+        let endpoint = self.endpoints.at(position);
+        if !self.is_allowed(endpoint) {
+            return None;
+        }
+        let rules = &self.settings.warm_up;
+        let warm_fraction = slow_start::warm_fraction(rules, endpoint, self.fleet_latency, self.now);
+        if !self.slow_start.admits(endpoint, warm_fraction) {
+            return None;
+        }
+        let health = endpoint.health(self.latency_bound, self.now);
+        if health == Health::Recovering && !self.may_send_recovery_attempt(endpoint) {
+            return None;
+        }
+        let location = self.location(endpoint, position);
+        let preference = Preference {
+            availability: availability(health),
+            location,
+            turn: turn(endpoint, location, warm_fraction),
+            cost: self.cost_model.cost(endpoint, warm_fraction, random),
+        };
+        Some(Candidate { endpoint: endpoint.entry.id, warm_fraction, preference })
+    }
+
+    /// Whether the attempt may go to an endpoint at all.
+    fn is_allowed(&self, endpoint: &Endpoint) -> bool {
+        let in_bounds = self.bound_to.is_none_or(|group| group.contains(&endpoint.entry));
+        in_bounds && Some(endpoint.entry.id) != self.exclude
+    }
+
+    /// Whether this attempt may be the one that shows if an endpoint has recovered: a single one that does no
+    /// harm if it fails.
+    fn may_send_recovery_attempt(&self, endpoint: &Endpoint) -> bool {
+        self.may_test_recovery && !endpoint.has_recovery_attempt_in_flight()
+    }
+
+    fn location(&self, endpoint: &Endpoint, position: usize) -> Location {
+        if !endpoint.is_ejected(self.now) && self.subset.contains(position) {
+            Location::InSubset
+        } else {
+            Location::Elsewhere
+        }
+    }
+}
+
+fn availability(health: Health) -> Availability {
+    match health {
+        Health::Healthy | Health::Recovering => Availability::Available,
+        Health::Unavailable => Availability::Unavailable,
+    }
+}
+
+fn turn(endpoint: &Endpoint, location: Location, warm_fraction: f64) -> Turn {
+    if location == Location::InSubset && warm_fraction < 1.0 && endpoint.consecutive_failures == 0 {
+        Turn::WarmingUpAndDue
+    } else {
+        Turn::Ordinary
+    }
+}
--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -1,30 +1,38 @@
-//! Overload: what latency a new request can expect, and whether it is turned away for it.
-
-use super::balancer::endpoint_table::Server;
-use super::balancer::Balancer;
-use super::estimators::Tally;
-use super::{EndpointState, Micros, NewRequest, Settings, TICK};
-
-/// Danger: of the few requests that one node has out the number swings by chance, and overload is judged by
-/// it. A tick's weight in its mean: over 0.2 s, some times what a request takes.
-pub(super) const HELD_GAIN: f64 = 0.1;
-/// Smoothing of the rate of answers: some tens of answers, and well within an overload's onset.
-pub(super) const DONE_SPAN: f64 = 1.5e6;
-/// Smoothing of the mean time of answers, and how many requests out it weighs as much as.
-pub(super) const MEAN_SPAN: f64 = 4.0e6;
-const EVIDENCE: f64 = 3.0;
-/// A request is shed when its expected latency is past this share of its aim: the cheapest and the dearest
-/// work. Work times vary about as much as their mean, hence well under the whole.
-/// Lost attempts are left out of what is held, hence 0.48 and not the half as before.
-pub(super) const SHED_CHEAPEST: f64 = 0.25;
-pub(super) const SHED_DEAREST: f64 = 0.48;
-
-/// What is out, and how long answers take: the input of load shedding.
+//! Load shedding: the response time that a new request can expect, and whether it is rejected for it.
+
+use super::balancer::{Balancer, Endpoint, COMPLETION_TIME_CONSTANT};
+use super::estimators::{DecayingMean, MICROS_PER_SECOND};
+use super::{Micros, NewRequest, Settings, TICK};
+
+/// Weight of a tick in the mean of attempts in flight: over 0.2 s, some times what a request takes. The count
+/// of the few requests that one node has in flight swings by chance, and overload is judged by it.
+const IN_FLIGHT_GAIN: f64 = 0.1;
+/// Time constant of the mean response time, in microseconds.
+const RESPONSE_TIME_CONSTANT: f64 = 4.0e6;
+/// The mean response time weighs as much as so many attempts in flight.
+const RESPONSE_TIME_EVIDENCE: f64 = 3.0;
+/// Least age of the node that the rate of responses is corrected by, as a share of its time constant.
+const MIN_RELATIVE_AGE: f64 = 1e-3;
+/// Least value that weights and factors are divided by.
+const MIN_WEIGHT: f64 = 1e-9;
+/// A request is shed when its expected response time is past this share of the latency objective: for
+/// requests of the least weight and for those of the greatest. Work times vary about as much as their mean,
+/// hence well under the whole. Attempts that got lost are left out of those in flight, hence 0.48 and not one
+/// half.
+pub(super) const LEAST_SHED_THRESHOLD: f64 = 0.25;
+pub(super) const GREATEST_SHED_THRESHOLD: f64 = 0.48;
+
+// Old names, removed at the join.
+pub(super) const SHED_CHEAPEST: f64 = LEAST_SHED_THRESHOLD;
+pub(super) const SHED_DEAREST: f64 = GREATEST_SHED_THRESHOLD;
+
+/// Judges overload by attempts in flight and response times at endpoints that are in order.
 #[derive(Default)]
 pub(super) struct LoadShedder {
-    /// What is out at servers that answer, smoothed.
-    held: f64,
-    times: Tally,
+    /// Attempts in flight, smoothed over ticks.
+    in_flight: f64,
+    /// Response times in microseconds.
+    response_times: DecayingMean,
     /// When the node started.
     started_at: Micros,
 }
@@ -35,75 +43,123 @@
         self.started_at = now;
     }
 
-    /// A response came from an endpoint about as fast as the others.
+    /// Records the response time of an endpoint that is about as fast as the others.
     pub fn record_response_time(&mut self, now: Micros, elapsed: Micros) {
-        self.times.add(now, elapsed as f64, MEAN_SPAN);
+        self.response_times.record(now, elapsed as f64, RESPONSE_TIME_CONSTANT);
     }
 
-    /// A tick: takes what is in flight now into the mean.
+    /// Takes what is in flight at a tick into the mean.
     pub fn on_tick(&mut self, balancer: &Balancer, now: Micros) {
-        let held: usize =
-            balancer.servers.met().filter(|s| balancer.answers(s, now)).map(|s| balancer.working(s)).sum();
-        self.held += (held as f64 - self.held) * HELD_GAIN;
+        let latency_bound = balancer.latency_bound();
+        let in_flight: usize = balancer
+            .typical_endpoints(now)
+            .map(|endpoint| attempts_being_served(endpoint, latency_bound))
+            .sum();
+        self.in_flight += (in_flight as f64 - self.in_flight) * IN_FLIGHT_GAIN;
     }
 
-    /// If the fleet is full for this request, how soon it is not, if nothing more were sent: what is expected
-    /// is smoothed, so it falls by a constant share each tick.
-    /// Danger: a full fleet, where everything is answered late. The cheapest work goes first. Judged by what
-    /// is out now, so that an idle fleet always lets in: old latencies alone latch it shut.
-    pub(super) fn overloaded(
+    /// The time until the fleet would admit this request if nothing more were sent, in microseconds. None if
+    /// it is admitted now.
+    ///
+    /// In a full fleet everything would be answered late, so requests are shed, those of the least weight
+    /// first. Overload is judged by what is in flight now: an idle fleet always admits, while response times
+    /// of the past alone would shut it for good.
+    pub fn time_until_admission(
         &self,
         settings: &Settings,
         balancer: &Balancer,
-        new: &NewRequest,
+        request: &NewRequest,
         now: Micros,
     ) -> Option<Micros> {
-        let plan = settings.plans.get(new.plan)?;
-        let class = &settings.classes[new.class];
-        let credit = settings.classes.iter().map(|c| c.priority_weight).fold(1e-9, f64::max);
-        let factor = settings.plans.iter().map(|p| p.weight_factor).fold(1e-9, f64::max);
-        let rank = class.priority_weight / credit * plan.weight_factor / factor;
-        let share = SHED_CHEAPEST + (SHED_DEAREST - SHED_CHEAPEST) * rank;
-        // All classes queue at the same servers: the shortest aim rules, or the patient class takes all.
-        // Danger: of a few answers the mean swings far, and each node would shed at its own chance highs.
-        let sure = 1.0 - 1.0 / (1.0 + self.times.weight(now, MEAN_SPAN)).sqrt();
-        let over = self.expected(settings, balancer, now) * sure / (shortest_aim(settings) * share).max(1.0);
-        (over > 1.0).then(|| (over.ln() / HELD_GAIN * TICK as f64) as Micros)
+        let threshold = shed_threshold(settings, request)?;
+        // All classes queue at the same endpoints. If each had its own objective as the limit, the class with
+        // the longest would take all capacity.
+        let limit = (shortest_latency_objective(settings) * threshold).max(1.0);
+        let expected = self.expected_response_time(settings, balancer, now);
+        let overload = expected * self.confidence(now) / limit;
+        // What is expected is smoothed, so without new requests it falls by a constant share each tick.
+        (overload > 1.0).then(|| (overload.ln() / IN_FLIGHT_GAIN * TICK as f64) as Micros)
+    }
+
+    /// How far the response times can be relied on, 0 to 1. The mean of a few swings far, and each node would
+    /// shed at its own chance highs.
+    fn confidence(&self, now: Micros) -> f64 {
+        let samples = self.response_times.weight(now, RESPONSE_TIME_CONSTANT);
+        1.0 - 1.0 / (1.0 + samples).sqrt()
+    }
+
+    /// The response time that a new request can expect, in microseconds; 0 before any response.
+    ///
+    /// By Little's law it is what this node has in flight over the rate at which responses come, at endpoints
+    /// that are in order. A node that sees a few requests a second has one or none in flight, and one alone
+    /// would look like a full fleet. So the mean of recent response times weighs as much as
+    /// `RESPONSE_TIME_EVIDENCE` attempts in flight; without responses it is forgotten.
+    pub fn expected_response_time(&self, settings: &Settings, balancer: &Balancer, now: Micros) -> f64 {
+        let rate: f64 = balancer.typical_endpoints(now).map(|endpoint| endpoint.completion_rate(now)).sum();
+        if rate > 0.0 {
+            let mean = self.mean_response_time(settings, now);
+            let evidence_rate = RESPONSE_TIME_EVIDENCE * MICROS_PER_SECOND / mean.max(1.0);
+            let rate = rate / self.relative_age(now).max(MIN_RELATIVE_AGE) + evidence_rate;
+            (self.in_flight + RESPONSE_TIME_EVIDENCE) / rate * MICROS_PER_SECOND
+        } else {
+            0.0
+        }
+    }
+
+    /// The mean of recent response times in microseconds, with half of what is shed first as one sample.
+    fn mean_response_time(&self, settings: &Settings, now: Micros) -> f64 {
+        let prior = shortest_latency_objective(settings) * LEAST_SHED_THRESHOLD / 2.0;
+        self.response_times.with_prior(now, prior, RESPONSE_TIME_CONSTANT)
+    }
+
+    /// The share of its final value that a steady rate of responses has reached since the node started.
+    fn relative_age(&self, now: Micros) -> f64 {
+        1.0 - (-(now.saturating_sub(self.started_at) as f64) / COMPLETION_TIME_CONSTANT).exp()
     }
 
-    /// The latency to expect of a new request, by Little's law: what this node has out over the rate at which
-    /// answers come, on the servers that answer. Danger: a node that sees a few requests a second has one or
-    /// none out, and one alone would look like a full fleet. So the mean of recent answers weighs as much as
-    /// `EVIDENCE` requests out; with no answers it is forgotten.
-    pub(super) fn expected(&self, settings: &Settings, balancer: &Balancer, now: Micros) -> f64 {
-        let answering = balancer.servers.met().filter(|s| balancer.answers(s, now));
-        let rate: f64 = answering.map(|s| s.done.get(now, DONE_SPAN)).sum();
-        let mean = self.times.mean(now, shortest_aim(settings) * SHED_CHEAPEST / 2.0, MEAN_SPAN);
-        let age = 1.0 - (-(now.saturating_sub(self.started_at) as f64) / DONE_SPAN).exp();
-        let rate = (rate > 0.0).then_some(rate / age.max(1e-3) + EVIDENCE * 1e6 / mean.max(1.0));
-        rate.map_or(0.0, |rate| (self.held + EVIDENCE) / rate * 1e6)
+    // Old name, removed at the join.
+    pub fn expected(&self, settings: &Settings, balancer: &Balancer, now: Micros) -> f64 {
+        self.expected_response_time(settings, balancer, now)
     }
+
+    // Old name, removed at the join.
+    pub fn overloaded(
+        &self,
+        settings: &Settings,
+        balancer: &Balancer,
+        new: &NewRequest,
+        now: Micros,
+    ) -> Option<Micros> {
+        self.time_until_admission(settings, balancer, new, now)
+    }
+}
+
+/// The shortest latency objective of all classes, in microseconds.
+pub(super) fn shortest_latency_objective(settings: &Settings) -> f64 {
+    settings.classes.iter().map(|class| class.latency_objective).min().unwrap_or(0) as f64
 }
 
-/// The shortest latency objective of all classes.
+// Old name, removed at the join.
 pub(super) fn shortest_aim(settings: &Settings) -> f64 {
-    settings.classes.iter().map(|c| c.latency_objective).min().unwrap_or(0) as f64
+    shortest_latency_objective(settings)
 }
 
-impl Balancer {
-    /// Whether overload is judged by a server.
-    pub(super) fn answers(&self, s: &Server, now: Micros) -> bool {
-        s.told.state == EndpointState::Active
-            && s.strikes == 0
-            && s.latency < 2.0 * self.latency
-            && !self.silent(s, now)
-    }
+/// The share of the latency objective from which on a request is shed, by its weight relative to the
+/// greatest. None if its plan is not in the settings.
+fn shed_threshold(settings: &Settings, request: &NewRequest) -> Option<f64> {
+    let plan = settings.plans.get(request.plan)?;
+    let class = &settings.classes[request.class];
+    let greatest_weight =
+        settings.classes.iter().map(|class| class.priority_weight).fold(MIN_WEIGHT, f64::max);
+    let greatest_factor = settings.plans.iter().map(|plan| plan.weight_factor).fold(MIN_WEIGHT, f64::max);
+    let relative_weight = class.priority_weight / greatest_weight * plan.weight_factor / greatest_factor;
+    Some(LEAST_SHED_THRESHOLD + (GREATEST_SHED_THRESHOLD - LEAST_SHED_THRESHOLD) * relative_weight)
+}
 
-    /// How many attempts a server is at. Danger: what hung before the last ejection, and what got lost while
-    /// later attempts were answered, stays out until its client gives up; one or two look like a full fleet.
-    /// It does harm where single requests work for much longer than others: these are not seen.
-    pub(super) fn working(&self, s: &Server) -> usize {
-        let lost = s.answered.saturating_sub(self.latency_bound() as Micros);
-        s.in_flight.iter().filter(|&&sent| sent >= s.ejected && sent >= lost).count()
-    }
+/// How many attempts an endpoint works at. Those that were sent before its latest ejection ended, or got lost
+/// while later ones were answered, stay in flight until their clients disconnect, and one or two would look
+/// like a full fleet. The price: where single requests take much longer than others, these are not counted.
+fn attempts_being_served(endpoint: &Endpoint, latency_bound: f64) -> usize {
+    let lost_before = endpoint.last_success_sent_at.saturating_sub(latency_bound as Micros);
+    endpoint.in_flight_since_ejection().filter(|&sent_at| sent_at >= lost_before).count()
 }
