--- a/src/decision/balancer/selection.rs
+++ b/src/decision/balancer/selection.rs
@@ -121,6 +121,8 @@
     }
 
     /// The endpoint at a ring position as a candidate, if it may be sent the attempt.
+    // It runs for each endpoint examined, and a call would weigh as much as one of its rules.
+    #[inline(always)]
     fn candidate(&self, position: usize, random: &mut RandomSource) -> Option<Candidate> {
         let endpoint = self.endpoints.at(position);
         if !self.is_allowed(endpoint) {
