--- /dev/null
+++ b/src/decision/admission.rs
@@ -0,0 +1,203 @@
+//! Admission: the rules for a new request, in the order in which they apply.
+
+use std::collections::BTreeMap;
+
+use super::attempts::{PendingRequest, NO_RETRY_AFTER};
+use super::balancer::Balancer;
+use super::deferral::DeferralTerms;
+use super::load_shedding::{shortest_aim, LoadShedder, SHED_CHEAPEST, SHED_DEAREST};
+use super::quota::{QueuedRequest, QuotaDecision, QuotaRequest, QuotaTurn};
+use super::{AccountId, Action, DecisionEngine, Micros, NewRequest, Plan, RequestId, Settings, TICK};
+
+/// A late response that earns at least this share of the weight is worth serving.
+const WORTHWHILE_LATE_WEIGHT: f64 = 0.5;
+/// Times that differ by less than one part in this many count as the same timeout of a client.
+const TIMEOUT_PRECISION: Micros = 50;
+
+/// How long clients wait for one request, by class, as the latest request that was no retry showed.
+#[derive(Default)]
+pub(super) struct ClientTimeouts {
+    by_class: BTreeMap<usize, Micros>,
+}
+
+impl ClientTimeouts {
+    fn record(&mut self, request: &NewRequest, now: Micros) {
+        if !request.is_retry {
+            self.by_class.insert(request.class, request.deadline.saturating_sub(now));
+        }
+    }
+
+    /// Whether a request with so much time left has about all the time that its client gives a first request.
+    fn is_full_timeout(&self, class: usize, remaining: Micros) -> bool {
+        self.by_class
+            .get(&class)
+            .is_some_and(|&timeout| timeout.abs_diff(remaining) < timeout / TIMEOUT_PRECISION)
+    }
+}
+
+impl DecisionEngine {
+    /// Decides about a new request. In this order: it is shed for load; it is rejected if it comes too late
+    /// to be worth serving; it is admitted within quota, waits for the counter, or is handled as beyond
+    /// quota.
+    pub(super) fn on_request(&mut self, mut request: NewRequest, out: &mut Vec<Action>) {
+        if request.class >= self.settings.classes.len() || self.pending.contains(&request.id) {
+            return;
+        }
+        request.units = countable_units(request.units);
+        self.quota.record_request(&self.settings, self.now, &request);
+        self.client_timeouts.record(&request, self.now);
+        if let Some(retry_after) = self.retry_after_of_overload(&request) {
+            return self.reject(&request.id, retry_after, out);
+        }
+        if self.cannot_meet_objective(&request) || self.cannot_meet_deadline(&request) {
+            return self.reject(&request.id, NO_RETRY_AFTER, out);
+        }
+        let id = request.id.clone();
+        let account = request.account;
+        let units = request.units;
+        self.pending.insert(PendingRequest::new(request, self.now));
+        match self.decide_by_quota(&id, QuotaTurn::OnArrival, out) {
+            QuotaDecision::Granted { drawn_units } => self.admit(&id, drawn_units, out),
+            QuotaDecision::Wait => self.quota.enqueue(account, QueuedRequest { id, units }),
+            QuotaDecision::BeyondQuota => self.handle_beyond_quota(&id, out),
+        }
+    }
+
+    /// Decides about the requests of an account that waited for the counter, in their order.
+    pub(super) fn serve_queue(&mut self, account: AccountId, out: &mut Vec<Action>) {
+        while let Some(queued) = self.quota.dequeue(account) {
+            match self.decide_by_quota(&queued.id, QuotaTurn::AfterReply, out) {
+                QuotaDecision::Granted { drawn_units } => self.admit(&queued.id, drawn_units, out),
+                QuotaDecision::Wait => return self.quota.requeue(account, queued),
+                QuotaDecision::BeyondQuota => self.handle_beyond_quota(&queued.id, out),
+            }
+        }
+    }
+
+    /// If the fleet is too full for the request, when the client should come back.
+    fn retry_after_of_overload(&self, request: &NewRequest) -> Option<Micros> {
+        let overload = self.load_shedder.overloaded(&self.settings, &self.balancer, request, self.now)?;
+        let limits = &self.settings.limits;
+        if limits.retry_after_allowed && !request.is_retry {
+            Some(overload.clamp(TICK, limits.max_retry_after.max(TICK)))
+        } else {
+            Some(NO_RETRY_AFTER)
+        }
+    }
+
+    /// Whether a retry can no longer earn its weight: the time since the client's first request, counted
+    /// back from when it gives up, leaves too little of the latency objective. If the client gives each
+    /// retry as much time as a first request, this can't be known, and the retry is let pass.
+    fn cannot_meet_objective(&self, request: &NewRequest) -> bool {
+        let class = &self.settings.classes[request.class];
+        let remaining = request.deadline.saturating_sub(self.now);
+        let elapsed = class.total_timeout.saturating_sub(remaining) as f64;
+        request.is_retry
+            && !self.client_timeouts.is_full_timeout(request.class, remaining)
+            && class.late_weight < WORTHWHILE_LATE_WEIGHT
+            && elapsed + self.balancer.latency / 2.0 > class.latency_objective as f64
+    }
+
+    /// Whether the client gives up before any response could come.
+    fn cannot_meet_deadline(&self, request: &NewRequest) -> bool {
+        self.now + TICK + self.balancer.latency as Micros / 4 > request.deadline
+    }
+
+    /// Applies the quotas to a request. In this order: a plan without quotas; the quota of attempts in
+    /// flight; the quota of units.
+    fn decide_by_quota(&mut self, id: &RequestId, turn: QuotaTurn, out: &mut Vec<Action>) -> QuotaDecision {
+        let now = self.now;
+        let Some(pending) = self.pending.get(id) else { return QuotaDecision::BeyondQuota };
+        let Some(request) = quota_request(&pending.request, turn, &self.settings) else {
+            return QuotaDecision::Granted { drawn_units: 0.0 };
+        };
+        if self.quota.is_concurrency_exhausted(&request, self.balancer.latency, now) {
+            return QuotaDecision::BeyondQuota;
+        }
+        if request.plan.quota_units_per_second <= 0.0 {
+            return QuotaDecision::Granted { drawn_units: 0.0 };
+        }
+        let fleet_load = || fleet_load(&self.load_shedder, &self.settings, &self.balancer, now);
+        self.quota.draw(&self.settings, now, &mut self.random, &request, fleet_load, out)
+    }
+
+    fn admit(&mut self, id: &RequestId, drawn_units: f64, out: &mut Vec<Action>) {
+        if let Some(pending) = self.pending.get_mut(id) {
+            pending.drawn_units = drawn_units;
+        }
+        self.dispatch_admitted(id, out);
+    }
+
+    /// A request beyond quota is served where it earns more than it costs and there is room, else it is
+    /// deferred.
+    fn handle_beyond_quota(&mut self, id: &RequestId, out: &mut Vec<Action>) {
+        let Some(pending) = self.pending.get(id) else { return };
+        let Some(plan) = self.settings.plans.get(pending.request.plan) else { return };
+        let class = &self.settings.classes[pending.request.class];
+        let expected_latency = self.load_shedder.expected(&self.settings, &self.balancer, self.now);
+        let has_room = expected_latency < class.latency_objective as f64 * SHED_CHEAPEST;
+        if has_room && is_worth_serving_beyond_quota(plan) {
+            self.dispatch_admitted(id, out);
+        } else {
+            self.defer(id, out);
+        }
+    }
+
+    /// Rejects a request beyond quota, with a time to come back if the schedule has room for one. A retry
+    /// gets none.
+    fn defer(&mut self, id: &RequestId, out: &mut Vec<Action>) {
+        let Some(request) = self.pending.get(id).map(|pending| &pending.request) else { return };
+        let Some(terms) = self.deferral_terms(request) else { return };
+        let is_deferrable = self.settings.limits.retry_after_allowed && !request.is_retry;
+        let deferral =
+            if is_deferrable { self.deferrals.defer(request.account, &terms, self.now) } else { None };
+        self.reject(id, deferral.unwrap_or(NO_RETRY_AFTER), out);
+    }
+
+    fn deferral_terms(&self, request: &NewRequest) -> Option<DeferralTerms> {
+        let plan = self.settings.plans.get(request.plan)?;
+        let local_use = self.quota.local_use(request.account, self.now)?;
+        let terms = if plan.quota_units_per_second > 0.0 {
+            DeferralTerms::for_unit_quota(plan, request.units, &local_use)
+        } else {
+            DeferralTerms::for_concurrency_quota(plan, self.balancer.latency, &local_use)
+        };
+        Some(terms.within(self.settings.limits.max_retry_after))
+    }
+}
+
+/// The units that a request counts: not negative, and 1 if the client's number is not finite.
+fn countable_units(units: f64) -> f64 {
+    if units.is_finite() {
+        units.max(0.0)
+    } else {
+        1.0
+    }
+}
+
+/// The request as the quotas see it; none if its plan is not in the settings.
+fn quota_request<'a>(
+    request: &NewRequest,
+    turn: QuotaTurn,
+    settings: &'a Settings,
+) -> Option<QuotaRequest<'a>> {
+    Some(QuotaRequest {
+        account: request.account,
+        plan: settings.plans.get(request.plan)?,
+        units: request.units,
+        priority_weight: settings.classes[request.class].priority_weight,
+        turn,
+    })
+}
+
+/// Whether the plan's requests beyond quota earn more than they cost. Never under a hard ceiling.
+fn is_worth_serving_beyond_quota(plan: &Plan) -> bool {
+    plan.over_quota_weight > plan.over_quota_cost && plan.ceiling_units_per_second <= 0.0
+}
+
+/// How full the fleet is: the expected latency over the one at which the most valuable requests are shed, 1
+/// at most.
+fn fleet_load(load_shedder: &LoadShedder, settings: &Settings, balancer: &Balancer, now: Micros) -> f64 {
+    let shedding_latency = (shortest_aim(settings) * SHED_DEAREST).max(1.0);
+    (load_shedder.expected(settings, balancer, now) / shedding_latency).min(1.0)
+}
--- /dev/null
+++ b/src/decision/attempts/completion.rs
@@ -0,0 +1,48 @@
+//! The end of an attempt: what is recorded, and whether the request is done, sent again or given up.
+
+use super::pending_request::Attempt;
+use crate::decision::balancer::{AttemptResult, Selection};
+use crate::decision::{Action, DecisionEngine, EndedAttempt, EndpointId, Outcome};
+
+impl DecisionEngine {
+    /// Takes in the end of an attempt. An event about an attempt that is not in flight is ignored.
+    pub(in crate::decision) fn on_attempt_ended(&mut self, end: &EndedAttempt, out: &mut Vec<Action>) {
+        let Some(pending) = self.pending.get_mut(&end.request) else { return };
+        let Some(attempt) = pending.end_attempt(end) else { return };
+        let is_answered = pending.answered;
+        let result = attempt_result(&attempt, end, pending.request.class, pending.request.plan);
+        self.quota.attempt_ended(pending.request.account);
+        let Some(recorded) = self.balancer.attempt_ended(&self.settings, self.now, &result) else { return };
+        if let Some(response_time) = recorded.typical_response_time {
+            self.load_shedder.record_response_time(self.now, response_time);
+        }
+        if is_answered {
+            return self.close(&end.request);
+        }
+        match self.select_for_retry(end, attempt.endpoint) {
+            Some(selection) => self.start_attempt(&end.request, selection, out),
+            None => self.give_up(&end.request, out),
+        }
+    }
+
+    /// The endpoint for another attempt, if there may be one. Another endpoint than that of the failed
+    /// attempt, unless there is no other. An attempt that was not sent is not repeated.
+    fn select_for_retry(&mut self, end: &EndedAttempt, failed: EndpointId) -> Option<Selection> {
+        let pending = self.pending.get(&end.request)?;
+        if end.outcome == Outcome::NotSent || !self.retry_policy().allows_retry(pending) {
+            return None;
+        }
+        self.select_endpoint(&end.request, Some(failed)).or_else(|| self.select_endpoint(&end.request, None))
+    }
+}
+
+fn attempt_result(attempt: &Attempt, end: &EndedAttempt, class: usize, plan: usize) -> AttemptResult {
+    AttemptResult {
+        endpoint: attempt.endpoint,
+        class,
+        plan,
+        sent_at: attempt.sent_at,
+        outcome: end.outcome,
+        elapsed: end.elapsed,
+    }
+}
--- a/src/decision/deferral.rs
+++ b/src/decision/deferral.rs
@@ -1,38 +1,72 @@
-//! Deferral schedule: what goes beyond quota is refused with spaced times to return.
-
-use super::*;
-
-/// Open promises per customer at most, in mean requests of the burst: D-hat of the paper.
-const PROMISES_MAX: usize = 16;
-
-impl DecisionEngine {
-    /// Beyond quota: DSRT. A retry-after x past the latest promise, at most D of them open.
-    pub(super) fn defer(&mut self, id: &RequestId, out: &mut Vec<Action>) {
-        let now = self.now;
-        let Some(r) = self.requests.get(id) else { return };
-        let Some(plan) = self.set.plans.get(r.ask.plan) else { return };
-        // Where a try beyond quota earns more than it costs it is served, while there is room.
-        let roomy = self.load_shedder.expected(&self.set, &self.balancer, now)
-            < self.set.classes[r.ask.class].latency_objective as f64 * SHED_CHEAPEST;
-        if plan.over_quota_weight > plan.over_quota_cost && plan.ceiling_units_per_second <= 0.0 && roomy {
-            return self.launch(id, true, out);
+//! The deferral schedule (DSRT in docs/design.md): requests beyond quota are rejected with times to come
+//! back that are spaced apart.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use super::quota::LocalUse;
+use super::{AccountId, Micros, Plan};
+
+/// The most deferrals of an account that are outstanding at once: D of the paper.
+const MAX_OUTSTANDING: usize = 16;
+
+/// The deferrals of this node's accounts that are outstanding: promised and not yet due.
+#[derive(Default)]
+pub(super) struct DeferralSchedule {
+    /// When the clients were told to come back, the earliest first.
+    outstanding: BTreeMap<AccountId, VecDeque<Micros>>,
+}
+
+impl DeferralSchedule {
+    /// Defers a request to one spacing after the account's latest deferral. Returns the time from now until
+    /// then; none if as many deferrals are outstanding as the terms allow.
+    pub fn defer(&mut self, account: AccountId, terms: &DeferralTerms, now: Micros) -> Option<Micros> {
+        let outstanding = self.outstanding.entry(account).or_default();
+        outstanding.retain(|&due_at| due_at > now);
+        if outstanding.len() >= terms.max_outstanding() {
+            return None;
         }
-        let Some(c) = self.customers.get_mut(&r.ask.account) else { return };
-        let (rate, burst) = (plan.quota_units_per_second, plan.burst_units);
-        let slots = (plan.max_in_flight as f64 / c.spread).max(1.0);
-        let drawn = c.drawn.get(now, RATE_SPAN).max(rate / c.spread);
-        let x = if rate > 0.0 { r.ask.units / drawn * 1e6 } else { self.balancer.latency / slots };
-        let reach =
-            if rate > 0.0 { burst / rate * 1e6 } else { self.balancer.latency * plan.max_in_flight as f64 };
-        let reach = reach.min(self.set.limits.max_retry_after as f64);
-        c.promises.retain(|&p| p > now);
-        let most = ((reach / x.max(1.0)) as usize).min(PROMISES_MAX);
-        let mut advice = 0;
-        if self.set.limits.retry_after_allowed && !r.ask.is_retry && c.promises.len() < most {
-            let at = c.promises.back().copied().unwrap_or(now) + x as Micros;
-            c.promises.push_back(at);
-            advice = at - now;
+        let due_at = outstanding.back().copied().unwrap_or(now) + terms.spacing as Micros;
+        outstanding.push_back(due_at);
+        Some(due_at - now)
+    }
+
+    /// Forgets the deferrals of all accounts but those that are kept.
+    pub fn retain_accounts(&mut self, is_kept: impl Fn(AccountId) -> bool) {
+        self.outstanding.retain(|&account, _| is_kept(account));
+    }
+}
+
+/// How far apart deferrals are, and how far ahead they may reach. Both in microseconds.
+pub(super) struct DeferralTerms {
+    spacing: f64,
+    horizon: f64,
+}
+
+impl DeferralTerms {
+    /// The terms for a request of a plan with a quota of units: it comes back once its units have been
+    /// drawn anew, and within the time in which a burst refills.
+    pub fn for_unit_quota(plan: &Plan, units: f64, local_use: &LocalUse) -> Self {
+        let quota_rate = plan.quota_units_per_second;
+        let drawn_rate = local_use.drawn_rate.max(quota_rate / local_use.node_count);
+        DeferralTerms { spacing: units / drawn_rate * 1e6, horizon: plan.burst_units / quota_rate * 1e6 }
+    }
+
+    /// The terms for a request of a plan that only limits its attempts in flight: it comes back once one of
+    /// this node's slots is free.
+    pub fn for_concurrency_quota(plan: &Plan, mean_latency: f64, local_use: &LocalUse) -> Self {
+        let local_slots = (plan.max_in_flight as f64 / local_use.node_count).max(1.0);
+        DeferralTerms {
+            spacing: mean_latency / local_slots,
+            horizon: mean_latency * plan.max_in_flight as f64,
         }
-        self.refuse(id, advice, out);
+    }
+
+    /// Keeps the deferrals within the longest time that clients follow.
+    pub fn within(self, max_retry_after: Micros) -> Self {
+        DeferralTerms { horizon: self.horizon.min(max_retry_after as f64), ..self }
+    }
+
+    fn max_outstanding(&self) -> usize {
+        ((self.horizon / self.spacing.max(1.0)) as usize).min(MAX_OUTSTANDING)
     }
 }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,9 +1,16 @@
-//! The decisions of one gateway node. The types it speaks are in `event`, `action` and `settings`.
-//! The ordinary path is DSRT (docs/design.md): a request within its customer's quota draws on this
-//! node's lease and goes to a server; beyond the quota it is refused with a spaced retry-after.
-//! Reading order: this file, then quota, deferral, balancer, attempts, load_shedding; estimators serve them.
+//! The decisions of one edge node: which request is admitted, deferred or rejected, and which endpoint gets
+//! it.
+//!
+//! [`DecisionEngine`] takes events with the time and returns actions. It opens no socket and reads no
+//! clock. `event`, `action` and `settings` have the types it speaks. The ordinary path is DSRT
+//! (docs/design.md): a request within its account's quota draws on this node's lease and goes to an
+//! endpoint; beyond the quota it is rejected with a spaced `Retry-After` time.
+//!
+//! Each part has its own state, and the engine passes values between them. Reading order: this file,
+//! `admission`, `quota`, `deferral`, `attempts`, `balancer`, `load_shedding`; `estimators` serve them all.
 
 mod action;
+mod admission;
 mod attempts;
 mod balancer;
 mod deferral;
@@ -14,8 +21,6 @@
 mod quota;
 mod settings;
 
-use std::collections::{BTreeMap, VecDeque};
-
 pub use action::Action;
 pub use event::{EndedAttempt, EndpointEntry, EndpointState, EndpointUpdateKind, Event, NewRequest, Outcome};
 pub use identifiers::{AccountId, CounterKey, EndpointId, Micros, RequestId};
@@ -23,143 +28,213 @@
     CounterSettings, DeduplicationScope, Idempotency, Limits, Plan, RequestClass, Settings, WarmUp,
 };
 
-use attempts::{Request, RETRY_STORE};
-use balancer::{Balancer, TALLY_SPAN};
-use estimators::{mix, uniform, Bucket, Rate, Tally, GOLDEN};
-use load_shedding::{shortest_aim, LoadShedder, SHED_CHEAPEST, SHED_DEAREST};
-use quota::{dearest, Call, Customer, COUNTER_BACKOFF, GUESS_STORE, KEEP, LEASE_IDLE, RATE_SPAN};
+use admission::ClientTimeouts;
+use attempts::{PendingRequests, RetryBudget};
+use balancer::Balancer;
+use deferral::DeferralSchedule;
+use load_shedding::LoadShedder;
+use quota::{CounterReply, QuotaLedger};
 
-/// Housekeeping period: rescues, half-open servers, held requests, give-backs.
+/// Period of the housekeeping.
 const TICK: Micros = 20_000;
-/// A customer is kept for this long at least, and all are looked through so often.
-const FORGET: Micros = 6_000_000;
-const SWEEP: Micros = 500_000;
+/// Period in which idle leases are released and what is not needed any more is forgotten.
+const SWEEP_INTERVAL: Micros = 500_000;
 
-/// The decision module of one node.
-#[derive(Default)]
+/// The decisions of one node.
 pub struct DecisionEngine {
-    set: Settings,
+    settings: Settings,
+    /// State of the node's seeded random numbers.
     random: u64,
+    /// The time of the latest event.
     now: Micros,
-    /// When the first event came.
-    begun: Option<Micros>,
-    /// When customers and servers were last looked through.
-    swept: Micros,
-    /// A planned stop: what is granted from here on and serves nobody goes back at once.
-    stopping: bool,
-    customers: BTreeMap<AccountId, Customer>,
-    /// Calls out, by name: one at a time for a customer.
-    calls: BTreeMap<CounterKey, AccountId>,
-    /// Calls that timed out and may yet be answered, by name, the oldest first.
-    expired: BTreeMap<CounterKey, VecDeque<(AccountId, Call)>>,
-    counter_backoff: Micros,
-    counter_until: Micros,
-    /// The share of requests without a lease that ask the counter: AIMD on its answers.
-    ask_share: f64,
-    /// What a guess loses in the mean.
-    stakes: f64,
-    /// What guesses may still cost.
-    guesses: f64,
-    /// By plan, the looks at totals and those that found nothing.
-    looks: BTreeMap<usize, Tally>,
-    requests: BTreeMap<RequestId, Request>,
-    parked: VecDeque<RequestId>,
-    /// How long new tries of a class wait.
-    patience: BTreeMap<usize, Micros>,
+    has_started: bool,
+    swept_at: Micros,
+    shutdown_started: bool,
+    quota: QuotaLedger,
+    deferrals: DeferralSchedule,
+    client_timeouts: ClientTimeouts,
+    pending: PendingRequests,
+    retry_budget: RetryBudget,
     balancer: Balancer,
     load_shedder: LoadShedder,
-    retries: f64,
+}
+
+/// How many entries a node keeps state of.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct RetainedEntries {
+    /// Accounts.
+    pub accounts: usize,
+    /// Endpoints, listed or not.
+    pub endpoints: usize,
+}
+
+/// Work done since the start.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct WorkCounters {
+    /// How often an endpoint was examined, for requests and ticks.
+    pub endpoints_examined: u64,
+    /// How many entries of the endpoint list differed from what was known.
+    pub entries_changed: u64,
 }
 
 impl DecisionEngine {
-    /// A node at its start. It knows no servers until the first list comes.
-    pub fn new(seed: u64, set: Settings) -> Self {
+    /// A node at its start. It knows no endpoints until the first list comes.
+    pub fn new(seed: u64, settings: Settings) -> Self {
         DecisionEngine {
             random: seed,
-            counter_backoff: COUNTER_BACKOFF,
-            ask_share: 1.0,
-            retries: RETRY_STORE / 2.0,
-            guesses: GUESS_STORE * dearest(&set),
-            balancer: Balancer::new(&set),
-            set,
-            ..DecisionEngine::default()
+            now: 0,
+            has_started: false,
+            swept_at: 0,
+            shutdown_started: false,
+            quota: QuotaLedger::new(&settings),
+            deferrals: DeferralSchedule::default(),
+            client_timeouts: ClientTimeouts::default(),
+            pending: PendingRequests::default(),
+            retry_budget: RetryBudget::new(),
+            balancer: Balancer::new(&settings),
+            load_shedder: LoadShedder::default(),
+            settings,
         }
     }
 
     /// Takes one event at the time `now` and appends what is to be done.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        if self.begun.is_none() {
-            self.begun = Some(now);
-            self.load_shedder.start(now);
-            out.push(Action::SetTimer { id: 0, after: TICK });
+        if !self.has_started {
+            self.start(out);
         }
         match event {
-            Event::EndpointsUpdated { kind, entries } => self.on_members(kind, entries, out),
-            Event::RequestReceived(new) => self.on_request(new, out),
-            Event::ResponseStarted { request: id } => {
-                self.requests.get_mut(&id).into_iter().for_each(|r| r.stream = true)
+            Event::EndpointsUpdated { kind, entries } => self.on_endpoints_updated(kind, entries, out),
+            Event::RequestReceived(request) => self.on_request(request, out),
+            Event::ResponseStarted { request } => self.on_response_started(&request),
+            Event::AttemptEnded(end) => self.on_attempt_ended(&end, out),
+            Event::ClientDisconnected { request } => self.close(&request),
+            Event::CounterReplied { key, outcome, total } => {
+                self.on_counter_reply(key, CounterReply::classify(outcome, total), out);
             }
-            Event::AttemptEnded(end) => self.on_ended(end, out),
-            Event::ClientDisconnected { request: id } => self.close(&id),
-            Event::CounterReplied { key: name, outcome, total } => self.on_count(name, outcome, total, out),
-            Event::LateCounterReply { key: name, outcome, total } => self.on_late(name, outcome, total, out),
-            Event::TimerFired { .. } => self.on_tick(out),
-            Event::ShutdownStarted => {
-                self.stopping = true;
-                self.hand_back(0, out);
+            Event::LateCounterReply { key, outcome, total } => {
+                let reply = CounterReply::classify(outcome, total);
+                self.quota.on_late_reply(&self.settings, self.now, key, reply, out);
             }
+            Event::TimerFired { .. } => self.on_tick(out),
+            Event::ShutdownStarted => self.on_shutdown_started(out),
+            // Endpoints are judged by the attempts at them alone.
             Event::ProbeCompleted { .. } => {}
         }
     }
 
-    /// How many customers and app servers something is kept of.
+    /// How many accounts and endpoints the node keeps state of.
+    pub fn retained_entries(&self) -> RetainedEntries {
+        let table = &self.balancer.servers;
+        RetainedEntries {
+            accounts: self.quota.account_count(),
+            endpoints: table.ring.len() + table.off.len(),
+        }
+    }
+
+    /// The work done since the start.
+    pub fn work_counters(&self) -> WorkCounters {
+        let table = &self.balancer.servers;
+        WorkCounters { endpoints_examined: table.looked.get(), entries_changed: table.touched }
+    }
+
+    /// [`Self::retained_entries`] as a pair, for callers that have not moved yet.
     pub fn kept(&self) -> (usize, usize) {
-        (self.customers.len(), self.balancer.servers.ring.len() + self.balancer.servers.off.len())
+        let retained = self.retained_entries();
+        (retained.accounts, retained.endpoints)
     }
 
-    /// Work since the start: looks at app servers, for requests and ticks, and list entries that differed.
+    /// [`Self::work_counters`] as a pair, for callers that have not moved yet.
     pub fn work(&self) -> (u64, u64) {
-        (self.balancer.servers.looked.get(), self.balancer.servers.touched)
+        let counters = self.work_counters();
+        (counters.endpoints_examined, counters.entries_changed)
     }
 
-    fn on_tick(&mut self, out: &mut Vec<Action>) {
+    fn start(&mut self, out: &mut Vec<Action>) {
+        self.has_started = true;
+        self.load_shedder.start(self.now);
         out.push(Action::SetTimer { id: 0, after: TICK });
-        let now = self.now;
-        self.load_shedder.on_tick(&self.balancer, now);
-        for id in std::mem::take(&mut self.parked) {
-            let Some(r) = self.requests.get(&id) else { continue };
-            // Danger: what is turned away late has cost its client the time to go elsewhere.
-            let patience = self.set.classes[r.ask.class]
-                .latency_objective
-                .min(r.ask.deadline.saturating_sub(r.arrived) / 2);
-            if now + 2 * TICK >= r.arrived + patience {
-                self.give_up(&id, out);
-            } else {
-                self.launch(&id, false, out);
-            }
-        }
-        self.rescue(out);
-        self.balancer.eject_silent(now);
-        if now >= self.swept + SWEEP {
-            self.swept = now;
-            self.hand_back(if self.ask_share > 0.5 { LEASE_IDLE } else { Micros::MAX }, out);
-            self.forget();
-            let known = |calls: &VecDeque<(_, Call)>| calls.back().is_some_and(|(_, c)| now < c.at + KEEP);
-            self.expired.retain(|_, calls| known(calls));
-        }
     }
 
-    fn on_members(&mut self, kind: EndpointUpdateKind, entries: Vec<EndpointEntry>, out: &mut Vec<Action>) {
-        let polls = self.set.polls_endpoint_list;
+    fn on_endpoints_updated(
+        &mut self,
+        kind: EndpointUpdateKind,
+        entries: Vec<EndpointEntry>,
+        out: &mut Vec<Action>,
+    ) {
+        let polls = self.settings.polls_endpoint_list;
         if kind == EndpointUpdateKind::StaleSnapshot || (kind == EndpointUpdateKind::WatchLost && polls) {
-            // Danger: an old list after a restart names dead servers and hides cold ones. Ask anew.
+            // A list from before a restart names endpoints that have failed since and lacks those that are
+            // warming up.
             out.push(if polls { Action::WatchEndpoints } else { Action::FetchEndpoints });
         }
         if kind == EndpointUpdateKind::WatchLost {
             return;
         }
-        self.balancer.update(kind != EndpointUpdateKind::Delta, entries, self.now, &mut self.random);
-        self.forget();
+        let is_snapshot = kind != EndpointUpdateKind::Delta;
+        self.balancer.update(is_snapshot, entries, self.now, &mut self.random);
+        self.forget_unneeded();
+    }
+
+    fn on_response_started(&mut self, id: &RequestId) {
+        if let Some(pending) = self.pending.get_mut(id) {
+            pending.response_started = true;
+        }
+    }
+
+    fn on_counter_reply(&mut self, key: CounterKey, reply: CounterReply, out: &mut Vec<Action>) {
+        let account = self.quota.on_reply(&self.settings, self.now, &mut self.random, key, reply, out);
+        let Some(account) = account else { return };
+        self.serve_queue(account, out);
+        if self.shutdown_started {
+            self.release_all_leases(out);
+        }
+    }
+
+    /// From here on units that serve nobody are released as they come: nobody would use them up.
+    fn on_shutdown_started(&mut self, out: &mut Vec<Action>) {
+        self.shutdown_started = true;
+        self.release_all_leases(out);
+    }
+
+    fn release_all_leases(&mut self, out: &mut Vec<Action>) {
+        self.quota.release_idle_leases(&self.settings, self.now, 0, out);
+    }
+
+    fn on_tick(&mut self, out: &mut Vec<Action>) {
+        out.push(Action::SetTimer { id: 0, after: TICK });
+        self.load_shedder.on_tick(&self.balancer, self.now);
+        self.dispatch_waiting_requests(out);
+        self.cancel_stuck_attempts(out);
+        self.balancer.eject_silent(self.now);
+        if self.now >= self.swept_at + SWEEP_INTERVAL {
+            self.swept_at = self.now;
+            self.quota.release_unused_leases(&self.settings, self.now, out);
+            self.forget_unneeded();
+            self.quota.drop_expired_calls(self.now);
+        }
+    }
+
+    /// Tries again to find endpoints for the requests that wait for one, and gives up those that waited too
+    /// long: a late rejection costs its client the time to go elsewhere.
+    fn dispatch_waiting_requests(&mut self, out: &mut Vec<Action>) {
+        for id in self.pending.take_waiting_for_endpoint() {
+            let Some(pending) = self.pending.get(&id) else { continue };
+            let objective = self.settings.classes[pending.request.class].latency_objective;
+            let timeout = pending.request.deadline.saturating_sub(pending.arrived_at);
+            let longest_wait = objective.min(timeout / 2);
+            if self.now + 2 * TICK >= pending.arrived_at + longest_wait {
+                self.give_up(&id, out);
+            } else {
+                self.dispatch(&id, out);
+            }
+        }
+    }
+
+    /// Forgets endpoints and accounts that nothing has to be known of any more.
+    fn forget_unneeded(&mut self) {
+        self.balancer.servers.forget(self.now);
+        self.quota.forget_idle_accounts(&self.settings, self.now);
+        self.deferrals.retain_accounts(|account| self.quota.contains(account));
     }
 }
--- /dev/null
+++ b/src/decision/quota/speculation.rs
@@ -0,0 +1,165 @@
+//! Speculative admission: whether a request without a lease asks the counter, and whether it is admitted
+//! unasked.
+//!
+//! Costs and values are in the unit of the classes' `priority_weight`. Each speculative admission is paid
+//! from a balance that grows by a small share of what is requested: without that bound the gain of many
+//! admissions would hide how much they let through beyond quota.
+
+use std::collections::BTreeMap;
+
+use super::account::Account;
+use super::{QuotaRequest, QuotaTurn};
+use crate::decision::estimators::{uniform, Tally};
+use crate::decision::{Micros, Settings};
+
+/// How long the counter's replies are remembered as evidence, in microseconds.
+const EVIDENCE_SPAN: f64 = 15.0e6;
+/// Probability of a short bucket that is assumed before the first reply.
+const SHORTAGE_PRIOR: f64 = 0.3;
+/// What a full fleet adds to the cost of a speculative admission, as a share of the request's value: it
+/// takes the place of other requests.
+const FULL_FLEET_COST: f64 = 0.5;
+/// Weight of a new request in the mean stake.
+const MEAN_STAKE_GAIN: f64 = 0.02;
+/// A request asks the counter by its stake over the mean one, within these bounds.
+const LEAST_RELATIVE_STAKE: f64 = 0.2;
+const GREATEST_RELATIVE_STAKE: f64 = 5.0;
+/// The share of the requested value that speculative admissions may cost. What they let through beyond
+/// quota costs several times what is expected, since replies lag behind and rejected clients retry.
+const BALANCE_SHARE: f64 = 0.015;
+/// The greatest balance, in requests of the greatest value.
+const BALANCE_LIMIT: f64 = 3.0;
+
+/// What is at stake with one request that neither a lease nor the counter's totals decide.
+pub(super) struct Assessment {
+    /// What it costs in the mean to decide without asking, whichever way is the better.
+    stake: f64,
+    /// What it costs in the mean to admit the request without asking.
+    expected_cost: f64,
+    /// The request is worth more than what admitting it costs in the mean.
+    is_worth_admitting: bool,
+}
+
+/// How the counter is asked about a request.
+pub(super) struct AskProbability {
+    pub probability: f64,
+    /// How many requests that are not asked about the request stands for.
+    pub sampling_weight: f64,
+}
+
+/// Evidence for speculative admissions, and the balance that bounds them.
+pub(super) struct Speculation {
+    balance: f64,
+    mean_stake: f64,
+    /// By plan, the share of the counter's replies that found a bucket short.
+    shortage_by_plan: BTreeMap<usize, Tally>,
+}
+
+impl Speculation {
+    /// Starts with the greatest balance: otherwise a new node would admit nobody before its first reply.
+    pub fn new(settings: &Settings) -> Self {
+        Speculation {
+            balance: BALANCE_LIMIT * greatest_unit_value(settings),
+            mean_stake: 0.0,
+            shortage_by_plan: BTreeMap::new(),
+        }
+    }
+
+    /// Takes a new request's value into the balance.
+    pub fn deposit(&mut self, settings: &Settings, request_value: f64) {
+        let limit = BALANCE_LIMIT * greatest_unit_value(settings);
+        self.balance = (self.balance + BALANCE_SHARE * request_value).min(limit);
+    }
+
+    /// Records whether the counter's reply to a lease found the bucket short.
+    pub fn record_reply(&mut self, account: &mut Account, was_short: bool, now: Micros) {
+        let sample = if was_short { 1.0 } else { 0.0 };
+        account.shortage.add(now, sample, EVIDENCE_SPAN);
+        self.shortage_by_plan.entry(account.plan).or_default().add(now, sample, EVIDENCE_SPAN);
+    }
+
+    /// Assesses a request; `fleet_load` is 0 in an idle fleet and 1 in a full one.
+    pub fn assess(
+        &mut self,
+        account: &Account,
+        request: &QuotaRequest<'_>,
+        fleet_load: f64,
+        now: Micros,
+    ) -> Assessment {
+        let plan = request.plan;
+        let shortage = self.shortage_probability(account, now);
+        let cost_beyond_quota = plan.over_quota_cost - plan.over_quota_weight;
+        let value = plan.weight_factor * request.units * request.priority_weight;
+        let cost_of_rejecting = 1.0 - shortage;
+        let cost_of_admitting = shortage * cost_beyond_quota.max(0.0);
+        let stake = cost_of_rejecting.min(cost_of_admitting) * value;
+        if request.turn == QuotaTurn::OnArrival {
+            self.mean_stake += (stake - self.mean_stake) * MEAN_STAKE_GAIN;
+        }
+        // Where this node's part of a burst holds a whole request, the even share serves.
+        let even_share_is_too_small = plan.burst_units / account.node_count < account.mean_units;
+        let has_hard_ceiling = plan.ceiling_units_per_second > 0.0;
+        // In a full fleet what is admitted displaces other requests: doubtful ones are the first to go.
+        let is_worth_its_cost =
+            cost_of_rejecting > shortage * cost_beyond_quota + fleet_load * FULL_FLEET_COST;
+        Assessment {
+            stake,
+            expected_cost: cost_of_admitting * value,
+            is_worth_admitting: even_share_is_too_small && !has_hard_ceiling && is_worth_its_cost,
+        }
+    }
+
+    /// How likely the counter is asked: more likely the more is at stake, so that `ask_share` of all
+    /// requests ask.
+    pub fn ask_probability(&self, assessment: &Assessment, ask_share: f64) -> AskProbability {
+        let relative_stake = assessment.stake / self.mean_stake.max(1e-9);
+        let odds = ask_share * relative_stake.clamp(LEAST_RELATIVE_STAKE, GREATEST_RELATIVE_STAKE);
+        let probability = odds / (1.0 - ask_share + odds);
+        // Only what is admitted unasked has to be drawn by those that ask.
+        let sampling_weight = if assessment.is_worth_admitting { 1.0 / probability - 1.0 } else { 0.0 };
+        AskProbability { probability, sampling_weight }
+    }
+
+    /// Admits a request that is worth its expected cost, if the bucket should hold it, and pays for it.
+    /// While the counter is silent nothing better is known and nobody's quota is kept by paying, so it is
+    /// free.
+    pub fn try_admit(
+        &mut self,
+        assessment: &Assessment,
+        units: f64,
+        bucket_level: f64,
+        counter_is_silent: bool,
+    ) -> bool {
+        if !assessment.is_worth_admitting || bucket_level < units {
+            return false;
+        }
+        if counter_is_silent {
+            return true;
+        }
+        let is_affordable = self.balance >= assessment.expected_cost;
+        if is_affordable {
+            self.balance -= assessment.expected_cost;
+        }
+        is_affordable
+    }
+
+    /// How likely the account's bucket is short: by its own replies, and at first by those of its plan.
+    fn shortage_probability(&self, account: &Account, now: Micros) -> f64 {
+        let prior = self
+            .shortage_by_plan
+            .get(&account.plan)
+            .map_or(SHORTAGE_PRIOR, |shortage| shortage.mean(now, SHORTAGE_PRIOR, EVIDENCE_SPAN));
+        account.shortage.mean(now, prior, EVIDENCE_SPAN)
+    }
+}
+
+/// Draws whether the counter is asked.
+pub(super) fn draw_ask(ask: &AskProbability, random: &mut u64) -> bool {
+    uniform(random) < ask.probability
+}
+
+/// The greatest value of a unit, over all classes and plans.
+fn greatest_unit_value(settings: &Settings) -> f64 {
+    let priority = settings.classes.iter().map(|class| class.priority_weight).fold(0.0, f64::max);
+    priority * settings.plans.iter().map(|plan| plan.weight_factor).fold(0.0, f64::max)
+}
