--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -39,7 +39,7 @@
     /// Decides about a new request. In this order: it is shed for load; it is rejected if it comes too late
     /// to be worth serving; it is admitted within quota, waits for the counter, or is handled as beyond
     /// quota.
-    pub(super) fn on_request(&mut self, mut request: NewRequest, out: &mut Vec<Action>) {
+    pub(super) fn on_request(&mut self, mut request: NewRequest, actions: &mut Vec<Action>) {
         if request.class >= self.settings.classes.len() || self.pending.contains(&request.id) {
             return;
         }
@@ -47,29 +47,29 @@
         self.quota.record_request(&self.settings, self.now, &request);
         self.client_timeouts.record(&request, self.now);
         if let Some(retry_after) = self.retry_after_of_overload(&request) {
-            return self.reject(&request.id, retry_after, out);
+            return self.reject(&request.id, retry_after, actions);
         }
         if self.cannot_meet_objective(&request) || self.cannot_meet_deadline(&request) {
-            return self.reject(&request.id, NO_RETRY_AFTER, out);
+            return self.reject(&request.id, NO_RETRY_AFTER, actions);
         }
         let id = request.id.clone();
         let account = request.account;
         let units = request.units;
         self.pending.insert(PendingRequest::new(request, self.now));
-        match self.decide_by_quota(&id, QuotaTurn::OnArrival, out) {
-            QuotaDecision::Granted { drawn_units } => self.admit(&id, drawn_units, out),
+        match self.decide_by_quota(&id, QuotaTurn::OnArrival, actions) {
+            QuotaDecision::Granted { drawn_units } => self.admit(&id, drawn_units, actions),
             QuotaDecision::Wait => self.quota.enqueue(account, QueuedRequest { id, units }),
-            QuotaDecision::BeyondQuota => self.handle_beyond_quota(&id, out),
+            QuotaDecision::BeyondQuota => self.handle_beyond_quota(&id, actions),
         }
     }
 
     /// Decides about the requests of an account that waited for the counter, in their order.
-    pub(super) fn serve_queue(&mut self, account: AccountId, out: &mut Vec<Action>) {
+    pub(super) fn serve_queue(&mut self, account: AccountId, actions: &mut Vec<Action>) {
         while let Some(queued) = self.quota.dequeue(account) {
-            match self.decide_by_quota(&queued.id, QuotaTurn::AfterReply, out) {
-                QuotaDecision::Granted { drawn_units } => self.admit(&queued.id, drawn_units, out),
+            match self.decide_by_quota(&queued.id, QuotaTurn::AfterReply, actions) {
+                QuotaDecision::Granted { drawn_units } => self.admit(&queued.id, drawn_units, actions),
                 QuotaDecision::Wait => return self.quota.requeue(account, queued),
-                QuotaDecision::BeyondQuota => self.handle_beyond_quota(&queued.id, out),
+                QuotaDecision::BeyondQuota => self.handle_beyond_quota(&queued.id, actions),
             }
         }
     }
@@ -105,7 +105,12 @@
 
     /// Applies the quotas to a request. In this order: a plan without quotas; the quota of attempts in
     /// flight; the quota of units.
-    fn decide_by_quota(&mut self, id: &RequestId, turn: QuotaTurn, out: &mut Vec<Action>) -> QuotaDecision {
+    fn decide_by_quota(
+        &mut self,
+        id: &RequestId,
+        turn: QuotaTurn,
+        actions: &mut Vec<Action>,
+    ) -> QuotaDecision {
         let now = self.now;
         let Some(pending) = self.pending.get(id) else { return QuotaDecision::BeyondQuota };
         let Some(request) = quota_request(&pending.request, turn, &self.settings) else {
@@ -118,40 +123,40 @@
             return QuotaDecision::Granted { drawn_units: 0.0 };
         }
         let fleet_load = || fleet_load(&self.load_shedder, &self.settings, &self.balancer, now);
-        self.quota.draw(&self.settings, now, &mut self.random, &request, fleet_load, out)
+        self.quota.draw(&self.settings, now, &mut self.random, &request, fleet_load, actions)
     }
 
-    fn admit(&mut self, id: &RequestId, drawn_units: f64, out: &mut Vec<Action>) {
+    fn admit(&mut self, id: &RequestId, drawn_units: f64, actions: &mut Vec<Action>) {
         if let Some(pending) = self.pending.get_mut(id) {
             pending.drawn_units = drawn_units;
         }
-        self.dispatch_admitted(id, out);
+        self.dispatch_admitted(id, actions);
     }
 
     /// A request beyond quota is served where it earns more than it costs and there is room, else it is
     /// deferred.
-    fn handle_beyond_quota(&mut self, id: &RequestId, out: &mut Vec<Action>) {
+    fn handle_beyond_quota(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.get(id) else { return };
         let Some(plan) = self.settings.plans.get(pending.request.plan) else { return };
         let class = &self.settings.classes[pending.request.class];
         let expected_latency = self.load_shedder.expected(&self.settings, &self.balancer, self.now);
         let has_room = expected_latency < class.latency_objective as f64 * SHED_CHEAPEST;
         if has_room && is_worth_serving_beyond_quota(plan) {
-            self.dispatch_admitted(id, out);
+            self.dispatch_admitted(id, actions);
         } else {
-            self.defer(id, out);
+            self.defer(id, actions);
         }
     }
 
     /// Rejects a request beyond quota, with a time to come back if the schedule has room for one. A retry
     /// gets none.
-    fn defer(&mut self, id: &RequestId, out: &mut Vec<Action>) {
+    fn defer(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.pending.get(id).map(|pending| &pending.request) else { return };
         let Some(terms) = self.deferral_terms(request) else { return };
         let is_deferrable = self.settings.limits.retry_after_allowed && !request.is_retry;
         let deferral =
             if is_deferrable { self.deferrals.defer(request.account, &terms, self.now) } else { None };
-        self.reject(id, deferral.unwrap_or(NO_RETRY_AFTER), out);
+        self.reject(id, deferral.unwrap_or(NO_RETRY_AFTER), actions);
     }
 
     fn deferral_terms(&self, request: &NewRequest) -> Option<DeferralTerms> {
--- a/src/decision/attempts/completion.rs
+++ b/src/decision/attempts/completion.rs
@@ -6,7 +6,7 @@
 
 impl DecisionEngine {
     /// Takes in the end of an attempt. An event about an attempt that is not in flight is ignored.
-    pub(in crate::decision) fn on_attempt_ended(&mut self, end: &EndedAttempt, out: &mut Vec<Action>) {
+    pub(in crate::decision) fn on_attempt_ended(&mut self, end: &EndedAttempt, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.get_mut(&end.request) else { return };
         let Some(attempt) = pending.end_attempt(end) else { return };
         let is_answered = pending.answered;
@@ -20,8 +20,8 @@
             return self.close(&end.request);
         }
         match self.select_for_retry(end, attempt.endpoint) {
-            Some(selection) => self.start_attempt(&end.request, selection, out),
-            None => self.give_up(&end.request, out),
+            Some(selection) => self.start_attempt(&end.request, selection, actions),
+            None => self.give_up(&end.request, actions),
         }
     }
 
--- a/src/decision/attempts/final_response.rs
+++ b/src/decision/attempts/final_response.rs
@@ -11,25 +11,30 @@
 impl DecisionEngine {
     /// Gives a request up that cannot be served: rejects it where a retry of the client is harmless, else
     /// fails it.
-    pub(in crate::decision) fn give_up(&mut self, id: &RequestId, out: &mut Vec<Action>) {
+    pub(in crate::decision) fn give_up(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.get(id) else { return };
         let class = &self.settings.classes[pending.request.class];
         if is_client_retry_harmless(pending, class) {
-            self.reject(id, NO_RETRY_AFTER, out);
+            self.reject(id, NO_RETRY_AFTER, actions);
         } else {
-            self.fail(id, out);
+            self.fail(id, actions);
         }
     }
 
     /// Rejects a request. `retry_after` is when the client should come back, from now.
-    pub(in crate::decision) fn reject(&mut self, id: &RequestId, retry_after: Micros, out: &mut Vec<Action>) {
-        out.push(Action::Reject { request: id.clone(), retry_after });
+    pub(in crate::decision) fn reject(
+        &mut self,
+        id: &RequestId,
+        retry_after: Micros,
+        actions: &mut Vec<Action>,
+    ) {
+        actions.push(Action::Reject { request: id.clone(), retry_after });
         self.close(id);
     }
 
     /// Fails a request that may have run.
-    fn fail(&mut self, id: &RequestId, out: &mut Vec<Action>) {
-        out.push(Action::Fail { request: id.clone() });
+    fn fail(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
+        actions.push(Action::Fail { request: id.clone() });
         self.close(id);
     }
 
--- a/src/decision/attempts/mod.rs
+++ b/src/decision/attempts/mod.rs
@@ -24,25 +24,26 @@
 
 impl DecisionEngine {
     /// Sends a newly admitted request to an endpoint, or has it wait for one.
-    pub(super) fn dispatch_admitted(&mut self, id: &RequestId, out: &mut Vec<Action>) {
-        self.dispatch(id, out);
+    pub(super) fn dispatch_admitted(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
+        self.dispatch(id, actions);
         self.balancer.request_launched();
     }
 
     /// Sends a request to an endpoint, or has it wait until one can take it.
-    pub(super) fn dispatch(&mut self, id: &RequestId, out: &mut Vec<Action>) {
+    pub(super) fn dispatch(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         match self.select_endpoint(id, None) {
-            Some(selection) => self.start_attempt(id, selection, out),
+            Some(selection) => self.start_attempt(id, selection, actions),
             None => self.pending.wait_for_endpoint(id.clone()),
         }
     }
 
     /// Cancels attempts at endpoints that answer nobody, for longer than the fleet ever needs, if the
     /// requests may be sent again: the end of the cancelled attempt leads to the next one.
-    pub(super) fn cancel_stuck_attempts(&mut self, out: &mut Vec<Action>) {
+    pub(super) fn cancel_stuck_attempts(&mut self, actions: &mut Vec<Action>) {
         for stuck in self.find_stuck_attempts() {
             self.balancer.eject(stuck.endpoint, self.now);
-            out.push(Action::CancelAttempt { request: stuck.request, attempt_number: stuck.attempt_number });
+            actions
+                .push(Action::CancelAttempt { request: stuck.request, attempt_number: stuck.attempt_number });
         }
     }
 
@@ -85,7 +86,7 @@
         self.balancer.choose(&self.settings, self.now, &mut self.random, &wanted)
     }
 
-    fn start_attempt(&mut self, id: &RequestId, selection: Selection, out: &mut Vec<Action>) {
+    fn start_attempt(&mut self, id: &RequestId, selection: Selection, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.get_mut(id) else { return };
         let Some(placement) = self.balancer.attempt_started(selection, self.now) else { return };
         if pending.attempts == 0 {
@@ -97,6 +98,6 @@
         let endpoint = selection.endpoint;
         pending.in_flight = Some(Attempt { endpoint, placement, sent_at: self.now });
         self.quota.attempt_started(pending.request.account);
-        out.push(Action::StartAttempt { request: id.clone(), endpoint, timeout: 0 });
+        actions.push(Action::StartAttempt { request: id.clone(), endpoint, timeout: 0 });
     }
 }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -98,26 +98,26 @@
     }
 
     /// Takes one event at the time `now` and appends what is to be done.
-    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if !self.has_started {
-            self.start(out);
+            self.start(actions);
         }
         match event {
-            Event::EndpointsUpdated { kind, entries } => self.on_endpoints_updated(kind, entries, out),
-            Event::RequestReceived(request) => self.on_request(request, out),
+            Event::EndpointsUpdated { kind, entries } => self.on_endpoints_updated(kind, entries, actions),
+            Event::RequestReceived(request) => self.on_request(request, actions),
             Event::ResponseStarted { request } => self.on_response_started(&request),
-            Event::AttemptEnded(end) => self.on_attempt_ended(&end, out),
+            Event::AttemptEnded(end) => self.on_attempt_ended(&end, actions),
             Event::ClientDisconnected { request } => self.close(&request),
             Event::CounterReplied { key, outcome, total } => {
-                self.on_counter_reply(key, CounterReply::classify(outcome, total), out);
+                self.on_counter_reply(key, CounterReply::classify(outcome, total), actions);
             }
             Event::LateCounterReply { key, outcome, total } => {
                 let reply = CounterReply::classify(outcome, total);
-                self.quota.on_late_reply(&self.settings, self.now, key, reply, out);
+                self.quota.on_late_reply(&self.settings, self.now, key, reply, actions);
             }
-            Event::TimerFired { .. } => self.on_tick(out),
-            Event::ShutdownStarted => self.on_shutdown_started(out),
+            Event::TimerFired { .. } => self.on_tick(actions),
+            Event::ShutdownStarted => self.on_shutdown_started(actions),
             // Endpoints are judged by the attempts at them alone.
             Event::ProbeCompleted { .. } => {}
         }
@@ -150,23 +150,23 @@
         (counters.endpoints_examined, counters.entries_changed)
     }
 
-    fn start(&mut self, out: &mut Vec<Action>) {
+    fn start(&mut self, actions: &mut Vec<Action>) {
         self.has_started = true;
         self.load_shedder.start(self.now);
-        out.push(Action::SetTimer { id: 0, after: TICK });
+        actions.push(Action::SetTimer { id: 0, after: TICK });
     }
 
     fn on_endpoints_updated(
         &mut self,
         kind: EndpointUpdateKind,
         entries: Vec<EndpointEntry>,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let polls = self.settings.polls_endpoint_list;
         if kind == EndpointUpdateKind::StaleSnapshot || (kind == EndpointUpdateKind::WatchLost && polls) {
             // A list from before a restart names endpoints that have failed since and lacks those that are
             // warming up.
-            out.push(if polls { Action::WatchEndpoints } else { Action::FetchEndpoints });
+            actions.push(if polls { Action::WatchEndpoints } else { Action::FetchEndpoints });
         }
         if kind == EndpointUpdateKind::WatchLost {
             return;
@@ -182,34 +182,34 @@
         }
     }
 
-    fn on_counter_reply(&mut self, key: CounterKey, reply: CounterReply, out: &mut Vec<Action>) {
-        let account = self.quota.on_reply(&self.settings, self.now, &mut self.random, key, reply, out);
+    fn on_counter_reply(&mut self, key: CounterKey, reply: CounterReply, actions: &mut Vec<Action>) {
+        let account = self.quota.on_reply(&self.settings, self.now, &mut self.random, key, reply, actions);
         let Some(account) = account else { return };
-        self.serve_queue(account, out);
+        self.serve_queue(account, actions);
         if self.shutdown_started {
-            self.release_all_leases(out);
+            self.release_all_leases(actions);
         }
     }
 
     /// From here on units that serve nobody are released as they come: nobody would use them up.
-    fn on_shutdown_started(&mut self, out: &mut Vec<Action>) {
+    fn on_shutdown_started(&mut self, actions: &mut Vec<Action>) {
         self.shutdown_started = true;
-        self.release_all_leases(out);
+        self.release_all_leases(actions);
     }
 
-    fn release_all_leases(&mut self, out: &mut Vec<Action>) {
-        self.quota.release_idle_leases(&self.settings, self.now, 0, out);
+    fn release_all_leases(&mut self, actions: &mut Vec<Action>) {
+        self.quota.release_idle_leases(&self.settings, self.now, 0, actions);
     }
 
-    fn on_tick(&mut self, out: &mut Vec<Action>) {
-        out.push(Action::SetTimer { id: 0, after: TICK });
+    fn on_tick(&mut self, actions: &mut Vec<Action>) {
+        actions.push(Action::SetTimer { id: 0, after: TICK });
         self.load_shedder.on_tick(&self.balancer, self.now);
-        self.dispatch_waiting_requests(out);
-        self.cancel_stuck_attempts(out);
+        self.dispatch_waiting_requests(actions);
+        self.cancel_stuck_attempts(actions);
         self.balancer.eject_silent(self.now);
         if self.now >= self.swept_at + SWEEP_INTERVAL {
             self.swept_at = self.now;
-            self.quota.release_unused_leases(&self.settings, self.now, out);
+            self.quota.release_unused_leases(&self.settings, self.now, actions);
             self.forget_unneeded();
             self.quota.drop_expired_calls(self.now);
         }
@@ -217,16 +217,16 @@
 
     /// Tries again to find endpoints for the requests that wait for one, and gives up those that waited too
     /// long: a late rejection costs its client the time to go elsewhere.
-    fn dispatch_waiting_requests(&mut self, out: &mut Vec<Action>) {
+    fn dispatch_waiting_requests(&mut self, actions: &mut Vec<Action>) {
         for id in self.pending.take_waiting_for_endpoint() {
             let Some(pending) = self.pending.get(&id) else { continue };
             let objective = self.settings.classes[pending.request.class].latency_objective;
             let timeout = pending.request.deadline.saturating_sub(pending.arrived_at);
             let longest_wait = objective.min(timeout / 2);
             if self.now + 2 * TICK >= pending.arrived_at + longest_wait {
-                self.give_up(&id, out);
+                self.give_up(&id, actions);
             } else {
-                self.dispatch(&id, out);
+                self.dispatch(&id, actions);
             }
         }
     }
--- a/src/decision/quota/counter_calls.rs
+++ b/src/decision/quota/counter_calls.rs
@@ -135,7 +135,7 @@
         account: &mut Account,
         increment: Increment,
         now: Micros,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let key = CounterWindow::at(id, now).key();
         let sampled_units = increment.lease_units.max(0.0) * std::mem::take(&mut account.sampling_weight);
@@ -152,13 +152,13 @@
         });
         self.in_flight.insert(key, id);
         let amount = increment.lease_units + reported_units;
-        out.push(Action::IncrementCounter { key, amount, keep_for: COUNTER_LIFETIME });
+        actions.push(Action::IncrementCounter { key, amount, keep_for: COUNTER_LIFETIME });
     }
 
     /// Reads a counter by a call that adds nothing.
-    pub fn read(&mut self, key: CounterKey, id: AccountId, out: &mut Vec<Action>) {
+    pub fn read(&mut self, key: CounterKey, id: AccountId, actions: &mut Vec<Action>) {
         self.in_flight.insert(key, id);
-        out.push(Action::IncrementCounter { key, amount: 0.0, keep_for: COUNTER_LIFETIME });
+        actions.push(Action::IncrementCounter { key, amount: 0.0, keep_for: COUNTER_LIFETIME });
     }
 
     /// The account whose call was in flight with this key, which has ended.
--- a/src/decision/quota/mod.rs
+++ b/src/decision/quota/mod.rs
@@ -1,67 +1,38 @@
 //! Quotas: accounts draw their units from a counter that all nodes share, by leases that each node holds.
 //!
-//! [`QuotaLedger`] has the accounts and puts the parts together: `account` keeps what is known of one
-//! account, `lease` sizes leases, `counter_window` names counters, `counter_calls` and `counter_health`
-//! have the calls to the counter service, `reconciliation` reads its totals, and `even_share` and
-//! `speculation` admit requests that the counter can't be asked about.
+//! [`QuotaLedger`] has the accounts and puts the parts together. Reading order:
+//!
+//! - `account`: what is known of one account; `lease`: how much to lease, when to release it.
+//! - This file, [`QuotaLedger::draw`]: the rules by which a request gets its units. `known_level` decides
+//!   without the counter, `even_share` and `speculation` where the counter can't be asked.
+//! - `counter_window`, `counter_calls`, `counter_health`: the counters, the calls to them, and the pauses
+//!   after failures.
+//! - `replies` and `reconciliation`: what a reply changes, and how the bucket's level follows from a total.
 
 mod account;
 mod counter_calls;
 mod counter_health;
 mod counter_window;
 mod even_share;
+mod known_level;
 mod lease;
 mod reconciliation;
+mod replies;
+mod request;
 mod speculation;
 
 use std::collections::BTreeMap;
 
-use super::{AccountId, Action, CounterKey, Micros, NewRequest, Plan, RequestId, Settings};
+use super::{AccountId, Action, Micros, NewRequest, RequestId, Settings};
 use account::{Account, RATE_SPAN};
-use counter_calls::{revert_call, CounterCall, CounterCalls, Increment};
+use counter_calls::{CounterCalls, Increment};
 use counter_health::CounterHealth;
-use counter_window::CounterWindow;
-use reconciliation::Correction;
+use known_level::{decide_by_known_level, BucketView};
 use speculation::{draw_ask, Speculation};
 
 pub(super) use account::QueuedRequest;
 pub(super) use counter_calls::CounterReply;
-
-/// Excess of at most this many units is not worth a call.
-const LEAST_EXCESS: f64 = 0.01;
-
-/// A request that asks for units of its account's quota.
-pub(super) struct QuotaRequest<'a> {
-    pub account: AccountId,
-    pub plan: &'a Plan,
-    pub units: f64,
-    /// The weight of its class.
-    pub priority_weight: f64,
-    pub turn: QuotaTurn,
-}
-
-/// When a request asks for its units.
-#[derive(Clone, Copy, PartialEq)]
-pub(super) enum QuotaTurn {
-    /// As it arrives: behind those that wait for the counter.
-    OnArrival,
-    /// Once the counter's reply is in: ahead of those that wait. It does not wait for a call that was made
-    /// since.
-    AfterReply,
-}
-
-/// What the quota says about a request.
-pub(super) enum QuotaDecision {
-    /// It is admitted. The units drawn are returned if it never runs.
-    Granted {
-        /// 0 if nothing was drawn.
-        drawn_units: f64,
-    },
-    /// It has to wait for the counter's reply.
-    Wait,
-    /// It is beyond quota.
-    BeyondQuota,
-}
+pub(super) use request::{QuotaDecision, QuotaRequest, QuotaTurn};
 
 /// How an account uses its quota at this node.
 pub(super) struct LocalUse {
@@ -138,9 +109,9 @@
         random: &mut u64,
         request: &QuotaRequest<'_>,
         fleet_load: impl FnOnce() -> f64,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> QuotaDecision {
-        if self.draw_from_lease(settings, now, request, out) {
+        if self.draw_from_lease(settings, now, request, actions) {
             return QuotaDecision::Granted { drawn_units: request.units };
         }
         let Some(account) = self.accounts.get_mut(&request.account) else {
@@ -158,7 +129,7 @@
         if counter_is_available && draw_ask(&ask, random) {
             account.sampling_weight = ask.sampling_weight;
             let needed_units = request.units + bucket.queued_units;
-            self.lease(settings, request.account, needed_units, now, out);
+            self.lease(settings, request.account, needed_units, now, actions);
             return QuotaDecision::Wait;
         }
         even_share::refill(account, request.plan, bucket.level, now);
@@ -219,73 +190,13 @@
         Some(LocalUse { drawn_rate: account.drawn.get(now, RATE_SPAN), node_count: account.node_count })
     }
 
-    /// Takes in the reply to a call. Returns the account whose queue can be served now.
-    pub fn on_reply(
-        &mut self,
-        settings: &Settings,
-        now: Micros,
-        random: &mut u64,
-        key: CounterKey,
-        reply: CounterReply,
-        out: &mut Vec<Action>,
-    ) -> Option<AccountId> {
-        let id = self.calls.end(key)?;
-        let account = self.accounts.get_mut(&id)?;
-        let call = account.call.take()?;
-        if call.needs_reread(reply) {
-            account.call = Some(call.with_reread(reply, now));
-            self.calls.read(key, id, out);
-            return None;
-        }
-        self.counter_health.record(settings, now, random, &call, reply);
-        match reply {
-            CounterReply::Total(total) => {
-                account.even_share = None;
-                let may_correct_overflow = !call.outcome_unknown;
-                let correction = self.reconcile(settings, id, call, total, now);
-                self.send_correction(id, correction, may_correct_overflow, now, out);
-            }
-            CounterReply::TimedOut => self.calls.keep_timed_out(key, id, call),
-            CounterReply::NotAdded | CounterReply::NotSent | CounterReply::InvalidTotal => {
-                revert_call(account, &call);
-            }
-            CounterReply::Unreadable | CounterReply::ConnectionReset => {}
-        }
-        Some(id)
-    }
-
-    /// Takes in what became of a call that had timed out. A slow counter adds a call though its reply comes
-    /// too late: taken for draws of other nodes, the units would serve nobody, and the quota would look
-    /// used up.
-    pub fn on_late_reply(
-        &mut self,
-        settings: &Settings,
-        now: Micros,
-        key: CounterKey,
-        reply: CounterReply,
-        out: &mut Vec<Action>,
-    ) {
-        let Some(timed_out) = self.calls.take_timed_out(key) else { return };
-        let id = timed_out.account;
-        let Some(account) = self.accounts.get_mut(&id) else { return };
-        match reply {
-            // The total of a window that is over tells nothing of the present one.
-            CounterReply::Total(total) if key == CounterWindow::at(id, now).key() => {
-                let correction = self.reconcile(settings, id, timed_out.call, total, now);
-                self.return_late_excess(id, correction.excess_units, now, out);
-            }
-            CounterReply::NotAdded => revert_call(account, &timed_out.call),
-            _ => {}
-        }
-    }
-
     /// Releases the leases of accounts without requests for longer than `idle_for`.
     pub fn release_idle_leases(
         &mut self,
         settings: &Settings,
         now: Micros,
         idle_for: Micros,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if !self.counter_health.is_available(settings, now) {
             return;
@@ -293,15 +204,15 @@
         for (&id, account) in &mut self.accounts {
             if lease::is_idle(account, idle_for, now) {
                 let released = std::mem::take(&mut account.lease);
-                self.calls.start(id, account, Increment::release(released), now, out);
+                self.calls.start(id, account, Increment::release(released), now, actions);
             }
         }
     }
 
     /// Releases the leases that lie idle in the ordinary run.
-    pub fn release_unused_leases(&mut self, settings: &Settings, now: Micros, out: &mut Vec<Action>) {
+    pub fn release_unused_leases(&mut self, settings: &Settings, now: Micros, actions: &mut Vec<Action>) {
         if self.counter_health.is_responsive() {
-            self.release_idle_leases(settings, now, lease::LEASE_IDLE, out);
+            self.release_idle_leases(settings, now, lease::LEASE_IDLE, actions);
         }
     }
 
@@ -322,132 +233,35 @@
         settings: &Settings,
         now: Micros,
         request: &QuotaRequest<'_>,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> bool {
         let Some(account) = self.accounts.get_mut(&request.account) else { return false };
-        let is_first_in_line = request.turn == QuotaTurn::AfterReply || account.queue.is_empty();
-        let is_covered = account.lease >= request.units && is_first_in_line;
+        let is_at_front = request.turn == QuotaTurn::AfterReply || account.queue.is_empty();
+        let is_covered = account.lease >= request.units && is_at_front;
         if is_covered {
             lease::draw_from_lease(account, request.units, now);
             if self.counter_health.is_available(settings, now) && lease::needs_prefetch(account, now) {
-                self.lease(settings, request.account, 0.0, now, out);
+                self.lease(settings, request.account, 0.0, now, actions);
             }
         }
         is_covered
     }
 
-    /// Calls the counter for a lease that covers the needed units and the demand.
+    /// Calls the counter for a lease that covers the needed units and the demand, by the plan that the
+    /// account's latest request named.
     fn lease(
         &mut self,
         settings: &Settings,
         id: AccountId,
         needed_units: f64,
         now: Micros,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(account) = self.accounts.get_mut(&id) else { return };
         let Some(plan) = settings.plans.get(account.plan) else { return };
         let units = lease::units_to_lease(account, plan, needed_units, now);
         if units > 0.0 {
-            self.calls.start(id, account, Increment::lease(units), now, out);
-        }
-    }
-
-    /// Takes the total after an added call into the account. Returns what the counter has to be told.
-    fn reconcile(
-        &mut self,
-        settings: &Settings,
-        id: AccountId,
-        mut call: CounterCall,
-        total: f64,
-        now: Micros,
-    ) -> Correction {
-        let Some(account) = self.accounts.get_mut(&id) else { return Correction::default() };
-        let Some(plan) = settings.plans.get(account.plan) else { return Correction::default() };
-        reconciliation::resolve_unknown_outcome(account, id, &mut call, total, now);
-        let mut correction = reconciliation::apply_total(account, plan, id, &call, total, now);
-        if call.lease_units > 0.0 {
-            let is_short = correction.excess_units > 0.0;
-            self.speculation.record_reply(account, is_short, now);
-            if is_short {
-                correction.excess_units += call.sampled_units;
-                // A part of a request left over at each of a hundred nodes would strand the whole burst:
-                // with the bucket short, what serves nobody who waits is released at once, and not when it
-                // is idle.
-                correction.excess_units += lease::take_unneeded(account);
-            }
-        }
-        correction
-    }
-
-    /// Calls the counter for a correction, if it is worth a call.
-    fn send_correction(
-        &mut self,
-        id: AccountId,
-        correction: Correction,
-        may_correct_overflow: bool,
-        now: Micros,
-        out: &mut Vec<Action>,
-    ) {
-        let Some(account) = self.accounts.get_mut(&id) else { return };
-        let overflow_units = correction.overflow_units;
-        let takes_back = overflow_units < 0.0;
-        let corrects = overflow_units > 0.0 && self.counter_health.is_responsive();
-        if correction.excess_units > LEAST_EXCESS {
-            self.calls.start(id, account, Increment::release(correction.excess_units), now, out);
-        } else if may_correct_overflow && (takes_back || corrects) {
-            self.calls.start(id, account, Increment::overflow_correction(overflow_units), now, out);
+            self.calls.start(id, account, Increment::lease(units), now, actions);
         }
     }
-
-    /// Returns what a late reply granted beyond the bucket: by a call of its own, or while a call is in
-    /// flight by the one after it.
-    fn return_late_excess(&mut self, id: AccountId, excess_units: f64, now: Micros, out: &mut Vec<Action>) {
-        let Some(account) = self.accounts.get_mut(&id) else { return };
-        if account.call.is_some() {
-            account.unreported_units -= excess_units;
-        } else if excess_units > LEAST_EXCESS {
-            self.calls.start(id, account, Increment::release(excess_units), now, out);
-        }
-    }
-}
-
-/// What the fleet's bucket should hold for a request, as far as this node knows.
-struct BucketView {
-    level: f64,
-    /// Units of requests that go first.
-    queued_units: f64,
-}
-
-impl BucketView {
-    fn of(account: &Account, request: &QuotaRequest<'_>, now: Micros) -> Self {
-        let queued_units = match request.turn {
-            QuotaTurn::OnArrival => account.queued_units(),
-            QuotaTurn::AfterReply => 0.0,
-        };
-        BucketView { level: account.projected_level(request.plan, now), queued_units }
-    }
-}
-
-/// Decides without the counter where a call is in flight or the last total left too little. None if the
-/// counter has to be asked.
-fn decide_by_known_level(
-    account: &Account,
-    request: &QuotaRequest<'_>,
-    bucket: &BucketView,
-) -> Option<QuotaDecision> {
-    let Some(call) = &account.call else {
-        let is_short = account.last_total.is_some()
-            && bucket.level + account.lease - bucket.queued_units < request.units;
-        return is_short.then_some(QuotaDecision::BeyondQuota);
-    };
-    let lease_after_call = account.lease + call.lease_units.min(bucket.level).max(0.0);
-    let level_after_call = bucket.level - call.lease_units.max(0.0);
-    let will_cover = lease_after_call - bucket.queued_units >= request.units
-        || level_after_call - bucket.queued_units >= request.units;
-    if will_cover && request.turn == QuotaTurn::OnArrival {
-        Some(QuotaDecision::Wait)
-    } else {
-        Some(QuotaDecision::BeyondQuota)
-    }
 }
--- a/src/decision/quota/speculation.rs
+++ b/src/decision/quota/speculation.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 use super::account::Account;
-use super::{QuotaRequest, QuotaTurn};
+use super::request::{QuotaRequest, QuotaTurn};
 use crate::decision::estimators::{uniform, Tally};
 use crate::decision::{Micros, Settings};
 
