--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -36,9 +36,10 @@
 }
 
 impl DecisionEngine {
-    /// Decides about a new request. In this order: it is shed for load; it is rejected if it comes too late
-    /// to be worth serving; it is admitted within quota, waits for the counter, or is handled as beyond
-    /// quota.
+    /// Decides about a new request, in this order: it is shed for load; it is rejected if it comes too late
+    /// to be worth serving; the quotas admit it, have it wait for the counter, or find it beyond quota.
+    ///
+    /// A request of an unknown class, or with the id of a pending one, is ignored.
     pub(super) fn on_request(&mut self, mut request: NewRequest, actions: &mut Vec<Action>) {
         if request.class >= self.settings.classes.len() || self.pending.contains(&request.id) {
             return;
@@ -74,7 +75,7 @@
         }
     }
 
-    /// If the fleet is too full for the request, when the client should come back.
+    /// If the request is shed for load, when its client should come back. A retry is shed without a time.
     fn retry_after_of_overload(&self, request: &NewRequest) -> Option<Micros> {
         let overload = self.load_shedder.overloaded(&self.settings, &self.balancer, request, self.now)?;
         let limits = &self.settings.limits;
@@ -103,8 +104,8 @@
         self.now + TICK + self.balancer.latency as Micros / 4 > request.deadline
     }
 
-    /// Applies the quotas to a request. In this order: a plan without quotas; the quota of attempts in
-    /// flight; the quota of units.
+    /// Applies the quotas to a request, in this order: attempts in flight, then units. What has no plan or
+    /// a plan without a quota of units is granted without a draw.
     fn decide_by_quota(
         &mut self,
         id: &RequestId,
@@ -126,6 +127,7 @@
         self.quota.draw(&self.settings, now, &mut self.random, &request, fleet_load, actions)
     }
 
+    /// Admits a request within quota.
     fn admit(&mut self, id: &RequestId, drawn_units: f64, actions: &mut Vec<Action>) {
         if let Some(pending) = self.pending.get_mut(id) {
             pending.drawn_units = drawn_units;
--- a/src/decision/attempts/completion.rs
+++ b/src/decision/attempts/completion.rs
@@ -5,7 +5,10 @@
 use crate::decision::{Action, DecisionEngine, EndedAttempt, EndpointId, Outcome};
 
 impl DecisionEngine {
-    /// Takes in the end of an attempt. An event about an attempt that is not in flight is ignored.
+    /// Takes in the end of an attempt, in this order: the request takes note of it, then its account, then
+    /// the balancer and the load shedder; then the request is closed, sent again or given up.
+    ///
+    /// An event about an attempt that is not in flight is ignored.
     pub(in crate::decision) fn on_attempt_ended(&mut self, end: &EndedAttempt, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.get_mut(&end.request) else { return };
         let Some(attempt) = pending.end_attempt(end) else { return };
@@ -25,8 +28,8 @@
         }
     }
 
-    /// The endpoint for another attempt, if there may be one. Another endpoint than that of the failed
-    /// attempt, unless there is no other. An attempt that was not sent is not repeated.
+    /// Selects an endpoint for another attempt, if there may be one: not that of the failed attempt, unless
+    /// there is no other. An attempt that was not sent is not repeated.
     fn select_for_retry(&mut self, end: &EndedAttempt, failed: EndpointId) -> Option<Selection> {
         let pending = self.pending.get(&end.request)?;
         if end.outcome == Outcome::NotSent || !self.retry_policy().allows_retry(pending) {
