--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,30 +1,46 @@
-//! A node under test and short-hands for its events.
+//! A node under test, on a clock that the test moves, and helpers for its events and actions.
 #![allow(dead_code)]
 
-use edge_node::decision::DecisionEngine;
-use edge_node::decision::*;
+use std::collections::BTreeMap;
 
-pub const MS: Micros = 1_000;
+use edge_node::decision::{
+    AccountId, Action, CounterKey, CounterSettings, DecisionEngine, DeduplicationScope, EndedAttempt,
+    EndpointEntry, EndpointId, EndpointState, EndpointUpdateKind, Event, Idempotency, Limits, Micros,
+    NewRequest, Outcome, Plan, RequestClass, RequestId, Settings, WarmUp,
+};
+
+pub const MILLISECOND: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-pub fn class(effect: Idempotency) -> RequestClass {
+/// The classes of [`settings_with_quota`], by index.
+pub const SAFE: usize = 0;
+pub const KEYED: usize = 1;
+pub const NON_IDEMPOTENT: usize = 2;
+
+/// A class whose repeats are dropped within a cell for a second.
+pub fn request_class(idempotency: Idempotency) -> RequestClass {
     RequestClass {
-        latency_objective: 500 * MS,
+        latency_objective: 500 * MILLISECOND,
         total_timeout: 2 * SECOND,
         priority_weight: 1.0,
         deduplication_window: SECOND,
         deduplication_scope: DeduplicationScope::Cell,
-        idempotency: effect,
+        idempotency,
         ..RequestClass::default()
     }
 }
 
-pub fn settings() -> Settings {
+/// Settings of a fleet of three nodes, with one plan of 2 units a second and a burst of 12.
+pub fn settings_with_quota() -> Settings {
     Settings {
         node_count: 3,
-        batch_interval: 2 * MS,
+        batch_interval: 2 * MILLISECOND,
         max_request_units: 6.0,
-        classes: vec![class(Idempotency::Safe), class(Idempotency::Keyed), class(Idempotency::NonIdempotent)],
+        classes: vec![
+            request_class(Idempotency::Safe),
+            request_class(Idempotency::Keyed),
+            request_class(Idempotency::NonIdempotent),
+        ],
         plans: vec![Plan {
             quota_units_per_second: 2.0,
             burst_units: 12.0,
@@ -38,40 +54,72 @@
             retry_after_allowed: true,
             max_retry_after: 2 * SECOND,
             max_attempts: 4,
-            connect_timeout: 100 * MS,
+            connect_timeout: 100 * MILLISECOND,
         },
-        counter: CounterSettings { enabled: true, timeout: 30 * MS },
+        counter: CounterSettings { enabled: true, timeout: 30 * MILLISECOND },
         warm_up: WarmUp {
             initial_fraction: 0.2,
             duration: 15 * SECOND,
             overload_multiple: 2.5,
-            overload_duration: 1_500 * MS,
+            overload_duration: 1_500 * MILLISECOND,
         },
         ..Settings::default()
     }
 }
 
-pub struct Node {
+/// Settings without any quota, so that only endpoints and attempts decide.
+pub fn settings_without_quota() -> Settings {
+    let mut settings = settings_with_quota();
+    settings.plans[0] = Plan { weight_factor: 1.0, ..Plan::default() };
+    settings
+}
+
+/// A request of account 7 that reached the node, and what the node did about it at once.
+pub struct SentRequest {
+    pub id: RequestId,
+    pub actions: Vec<Action>,
+}
+
+/// An attempt that the node started.
+#[derive(Debug, Clone, PartialEq)]
+pub struct StartedAttempt {
+    pub request: RequestId,
+    pub endpoint: EndpointId,
+}
+
+/// A call of the node to the counter service.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct CounterCall {
+    pub key: CounterKey,
+    pub amount: f64,
+}
+
+/// A node, its clock and the number of requests so far.
+pub struct NodeUnderTest {
     pub now: Micros,
     pub node: DecisionEngine,
-    next: u32,
+    request_count: u32,
 }
 
-impl Node {
-    pub fn new(set: Settings, servers: u32) -> Node {
-        let mut n = Node { now: 100 * SECOND, node: DecisionEngine::new(5, set), next: 0 };
-        let entries = (0..servers).map(|i| member(i, EndpointState::Active, 0)).collect();
-        n.event(Event::EndpointsUpdated { kind: EndpointUpdateKind::Snapshot, entries });
-        n
+impl NodeUnderTest {
+    /// A node that knows so many endpoints, all active and warm.
+    pub fn new(settings: Settings, endpoint_count: u32) -> NodeUnderTest {
+        let mut node =
+            NodeUnderTest { now: 100 * SECOND, node: DecisionEngine::new(5, settings), request_count: 0 };
+        let entries = (0..endpoint_count).map(|id| endpoint_entry(id, EndpointState::Active, 0)).collect();
+        node.event(Event::EndpointsUpdated { kind: EndpointUpdateKind::Snapshot, entries });
+        node
     }
 
+    /// Handles an event now and returns the actions.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.node.handle(self.now, event, &mut out);
-        out
+        let mut actions = Vec::new();
+        self.node.handle(self.now, event, &mut actions);
+        actions
     }
 
-    pub fn wait(&mut self, span: Micros) {
+    /// Moves the clock.
+    pub fn advance(&mut self, span: Micros) {
         self.now += span;
     }
 
@@ -79,13 +127,24 @@
         self.event(Event::TimerFired { id: 0 })
     }
 
-    pub fn ask(&mut self, class: usize, units: f64) -> (RequestId, Vec<Action>) {
-        self.ask_as(class, units, false)
+    /// Changes entries of the endpoint list.
+    pub fn update_endpoint(&mut self, entry: EndpointEntry) -> Vec<Action> {
+        self.event(Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, entries: vec![entry] })
+    }
+
+    /// A client sends a first request.
+    pub fn request(&mut self, class: usize, units: f64) -> SentRequest {
+        self.request_of_client(class, units, false)
     }
 
-    pub fn ask_as(&mut self, class: usize, units: f64, marked_retry: bool) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        let id = RequestId::from(format!("r{}", self.next).as_str());
+    /// A client sends a request that it marks as a retry.
+    pub fn retry(&mut self, class: usize, units: f64) -> SentRequest {
+        self.request_of_client(class, units, true)
+    }
+
+    fn request_of_client(&mut self, class: usize, units: f64, is_retry: bool) -> SentRequest {
+        self.request_count += 1;
+        let id = RequestId::from(format!("r{}", self.request_count).as_str());
         let request = NewRequest {
             id: id.clone(),
             account: AccountId(7),
@@ -94,98 +153,181 @@
             units,
             first_account_node: 0,
             account_node_count: 3,
-            is_retry: marked_retry,
+            is_retry,
             deadline: self.now + 2 * SECOND,
         };
-        (id, self.event(Event::RequestReceived(request)))
+        SentRequest { id, actions: self.event(Event::RequestReceived(request)) }
     }
 
-    pub fn end(&mut self, id: &RequestId, attempt: u32, server: EndpointId, outcome: Outcome) -> Vec<Action> {
+    /// A client sends a request that is passed on to an endpoint at once.
+    pub fn request_started(&mut self, class: usize) -> StartedAttempt {
+        started_attempts(&self.request(class, 1.0).actions).pop().expect("an attempt")
+    }
+
+    /// Ends an attempt 50 ms after its start.
+    pub fn end_attempt(&mut self, attempt: &StartedAttempt, number: u32, outcome: Outcome) -> Vec<Action> {
         self.event(Event::AttemptEnded(EndedAttempt {
-            request: id.clone(),
-            attempt_number: attempt,
-            endpoint: server,
+            request: attempt.request.clone(),
+            attempt_number: number,
+            endpoint: attempt.endpoint,
             outcome,
-            elapsed: 50 * MS,
+            elapsed: 50 * MILLISECOND,
             request_completed: outcome == Outcome::Ok,
             final_units: None,
         }))
     }
 
-    pub fn counted(&mut self, name: CounterKey, outcome: Outcome, total: f64) -> Vec<Action> {
-        self.event(Event::CounterReplied { key: name, outcome, total })
+    /// Ends the first attempt of a request with success.
+    pub fn complete(&mut self, attempt: &StartedAttempt) -> Vec<Action> {
+        self.end_attempt(attempt, 0, Outcome::Ok)
+    }
+
+    /// Ends a call to the counter service.
+    pub fn end_counter_call(&mut self, call: CounterCall, outcome: Outcome, total: f64) -> Vec<Action> {
+        self.event(Event::CounterReplied { key: call.key, outcome, total })
     }
 }
 
-pub fn member(server: u32, state: EndpointState, started: Micros) -> EndpointEntry {
+/// An entry of the endpoint list. Even ids are in cell 0, odd ones in cell 1.
+pub fn endpoint_entry(id: u32, state: EndpointState, started_at: Micros) -> EndpointEntry {
     EndpointEntry {
-        id: EndpointId(server.into()),
-        cell: server % 2,
+        id: EndpointId(id.into()),
+        cell: id % 2,
         state,
-        started_at: started,
+        started_at,
         weight: 1.0,
         ..EndpointEntry::default()
     }
 }
 
-pub fn call(actions: &[Action]) -> Option<(CounterKey, f64)> {
-    actions.iter().find_map(|a| match a {
-        Action::IncrementCounter { key: name, amount, .. } => Some((*name, *amount)),
+/// The first call to the counter service among the actions.
+pub fn counter_call(actions: &[Action]) -> Option<CounterCall> {
+    actions.iter().find_map(|action| match action {
+        Action::IncrementCounter { key, amount, .. } => Some(CounterCall { key: *key, amount: *amount }),
         _ => None,
     })
 }
 
-pub fn sent(actions: &[Action]) -> Vec<(RequestId, EndpointId)> {
-    let pick = |a: &Action| match a {
-        Action::StartAttempt { request: id, endpoint: server, .. } => Some((id.clone(), *server)),
+/// The attempts among the actions.
+pub fn started_attempts(actions: &[Action]) -> Vec<StartedAttempt> {
+    let attempt = |action: &Action| match action {
+        Action::StartAttempt { request, endpoint, .. } => {
+            Some(StartedAttempt { request: request.clone(), endpoint: *endpoint })
+        }
         _ => None,
     };
-    actions.iter().filter_map(pick).collect()
+    actions.iter().filter_map(attempt).collect()
 }
 
-pub fn refused(actions: &[Action]) -> Option<Micros> {
-    actions.iter().find_map(|a| match a {
+/// The `Retry-After` time of the first rejection among the actions; 0 if it has none.
+pub fn rejection(actions: &[Action]) -> Option<Micros> {
+    actions.iter().find_map(|action| match action {
         Action::Reject { retry_after, .. } => Some(*retry_after),
         _ => None,
     })
 }
 
-pub fn failed(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { .. }))
+/// Whether a request has failed.
+pub fn has_failure(actions: &[Action]) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Fail { .. }))
 }
 
-/// Settings without any quota, so that only servers and attempts decide.
-pub fn open() -> Settings {
-    let mut set = settings();
-    set.plans[0] = Plan { weight_factor: 1.0, ..Plan::default() };
-    set
-}
-
-/// One request that is passed on at once, and the server it went to.
-pub fn send_one(n: &mut Node, class: usize) -> (RequestId, EndpointId) {
-    let (_, actions) = n.ask(class, 1.0);
-    sent(&actions).pop().expect("an attempt")
-}
-
-/// A counter that keeps one number, for tests.
+/// A counter service that replies at once.
 #[derive(Default)]
-pub struct Counter(pub std::collections::BTreeMap<CounterKey, f64>);
+pub struct FakeCounter {
+    totals: BTreeMap<CounterKey, f64>,
+}
 
-impl Counter {
-    pub fn add(&mut self, name: CounterKey, amount: f64) -> f64 {
-        let total = self.0.entry(name).or_default();
+impl FakeCounter {
+    /// Adds to a counter and returns its total.
+    pub fn add(&mut self, key: CounterKey, amount: f64) -> f64 {
+        let total = self.totals.entry(key).or_default();
         *total += amount;
         *total
     }
+
+    /// Drops all counters, as a restart of the service does.
+    pub fn flush(&mut self) {
+        self.totals.clear();
+    }
+
+    /// Replies to every call until none is left. Returns all actions, with the given ones.
+    pub fn reply_to_all(&mut self, node: &mut NodeUnderTest, mut actions: Vec<Action>) -> Vec<Action> {
+        let mut all_actions = actions.clone();
+        while let Some(call) = counter_call(&actions) {
+            let total = self.add(call.key, call.amount);
+            actions = node.end_counter_call(call, Outcome::Ok, total);
+            all_actions.extend(actions.clone());
+        }
+        all_actions
+    }
 }
 
-/// Answers every call at once until none is left; gives all actions.
-pub fn settle(n: &mut Node, counter: &mut Counter, mut actions: Vec<Action>) -> Vec<Action> {
-    let mut all = actions.clone();
-    while let Some((name, amount)) = call(&actions) {
-        let total = counter.add(name, amount);
-        actions = n.counted(name, Outcome::Ok, total);
-        all.extend(actions.clone());
+// Earlier names, for the test files that have not moved to those above.
+
+pub const MS: Micros = MILLISECOND;
+
+pub type Node = NodeUnderTest;
+
+pub type Counter = FakeCounter;
+
+impl NodeUnderTest {
+    pub fn wait(&mut self, span: Micros) {
+        self.advance(span);
+    }
+
+    pub fn ask(&mut self, class: usize, units: f64) -> (RequestId, Vec<Action>) {
+        let sent = self.request(class, units);
+        (sent.id, sent.actions)
     }
-    all
+
+    pub fn end(&mut self, id: &RequestId, attempt: u32, server: EndpointId, outcome: Outcome) -> Vec<Action> {
+        let ended = StartedAttempt { request: id.clone(), endpoint: server };
+        self.end_attempt(&ended, attempt, outcome)
+    }
+
+    pub fn counted(&mut self, name: CounterKey, outcome: Outcome, total: f64) -> Vec<Action> {
+        self.event(Event::CounterReplied { key: name, outcome, total })
+    }
+}
+
+pub fn class(effect: Idempotency) -> RequestClass {
+    request_class(effect)
+}
+
+pub fn settings() -> Settings {
+    settings_with_quota()
+}
+
+pub fn open() -> Settings {
+    settings_without_quota()
+}
+
+pub fn member(server: u32, state: EndpointState, started: Micros) -> EndpointEntry {
+    endpoint_entry(server, state, started)
+}
+
+pub fn call(actions: &[Action]) -> Option<(CounterKey, f64)> {
+    counter_call(actions).map(|call| (call.key, call.amount))
+}
+
+pub fn sent(actions: &[Action]) -> Vec<(RequestId, EndpointId)> {
+    started_attempts(actions).into_iter().map(|attempt| (attempt.request, attempt.endpoint)).collect()
+}
+
+pub fn refused(actions: &[Action]) -> Option<Micros> {
+    rejection(actions)
+}
+
+pub fn failed(actions: &[Action]) -> bool {
+    has_failure(actions)
+}
+
+pub fn send_one(node: &mut Node, class: usize) -> (RequestId, EndpointId) {
+    let attempt = node.request_started(class);
+    (attempt.request, attempt.endpoint)
+}
+
+pub fn settle(node: &mut Node, counter: &mut Counter, actions: Vec<Action>) -> Vec<Action> {
+    counter.reply_to_all(node, actions)
 }
