--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -1,273 +1,140 @@
-//! Server choice, attempts and overload, through the public API.
+//! Attempts: which endpoint gets a request, when it is sent again, and what the client gets at the end.
 
 mod common;
-use common::*;
-use edge_node::decision::*;
 
-#[test]
-fn nothing_goes_to_a_draining_or_missing_server() {
-    let mut n = Node::new(open(), 2);
-    n.event(Event::EndpointsUpdated {
-        kind: EndpointUpdateKind::Delta,
-        entries: vec![member(0, EndpointState::Draining, 0)],
-    });
-    for _ in 0..20 {
-        let (id, server) = send_one(&mut n, 0);
-        assert_eq!(server, EndpointId(1));
-        n.end(&id, 0, server, Outcome::Ok);
-    }
-    n.event(Event::EndpointsUpdated {
-        kind: EndpointUpdateKind::Snapshot,
-        entries: vec![member(0, EndpointState::Active, 0)],
-    });
-    assert_eq!(send_one(&mut n, 0).1, EndpointId(0), "absent from a whole list is gone");
-}
-
-#[test]
-fn an_unsafe_request_that_may_have_run_is_failed_and_not_sent_again() {
-    let mut n = Node::new(open(), 3);
-    let (id, server) = send_one(&mut n, 2);
-    let actions = n.end(&id, 0, server, Outcome::Reset);
-    assert!(sent(&actions).is_empty() && failed(&actions));
-}
-
-#[test]
-fn an_unsafe_request_that_did_not_run_gets_another_server() {
-    let mut n = Node::new(open(), 3);
-    let (id, server) = send_one(&mut n, 2);
-    let again = sent(&n.end(&id, 0, server, Outcome::ConnectFailed));
-    assert_eq!(again.len(), 1);
-    assert_ne!(again[0].1, server);
-}
-
-#[test]
-fn a_keyed_request_stays_in_its_cell_and_its_window() {
-    let mut n = Node::new(open(), 6);
-    let (id, server) = send_one(&mut n, 1);
-    let again = sent(&n.end(&id, 0, server, Outcome::Reset));
-    assert_eq!(again.len(), 1);
-    assert_eq!(again[0].1 .0 % 2, server.0 % 2, "the same cell");
-    n.wait(SECOND + MS);
-    let late = n.end(&id, 1, again[0].1, Outcome::Reset);
-    assert!(sent(&late).is_empty() && failed(&late), "past the window");
-}
-
-#[test]
-fn a_try_that_comes_as_its_client_gives_up_is_answered_at_once() {
-    let mut n = Node::new(open(), 2);
-    let request = NewRequest {
-        id: "late".into(),
+use common::{
+    counter_call, endpoint_entry, has_failure, rejection, settings_with_quota, settings_without_quota,
+    started_attempts, NodeUnderTest, StartedAttempt, KEYED, MILLISECOND, NON_IDEMPOTENT, SAFE, SECOND,
+};
+use edge_node::decision::{
+    AccountId, CounterKey, EndpointId, EndpointState, EndpointUpdateKind, Event, Micros, NewRequest, Outcome,
+};
+
+/// A request of account 1 with an id of its own.
+fn request_with_id(id: &str, class: usize, deadline: Micros) -> NewRequest {
+    NewRequest {
+        id: id.into(),
         account: AccountId(1),
-        class: 0,
+        class,
         plan: 0,
         units: 1.0,
         first_account_node: 0,
-        account_node_count: 1,
-        is_retry: true,
-        deadline: n.now,
-    };
-    let actions = n.event(Event::RequestReceived(request));
-    assert!(sent(&actions).is_empty() && refused(&actions).is_some());
+        account_node_count: 3,
+        is_retry: false,
+        deadline,
+    }
 }
 
 #[test]
-fn a_full_fleet_refuses_and_an_idle_one_never_does() {
-    let mut n = Node::new(open(), 2);
-    let mut out = Vec::new();
+fn draining_or_unlisted_endpoint_gets_no_attempt() {
+    let mut node = NodeUnderTest::new(settings_without_quota(), 2);
+    node.update_endpoint(endpoint_entry(0, EndpointState::Draining, 0));
     for _ in 0..20 {
-        out.push(send_one(&mut n, 0));
-        n.wait(20 * MS);
-    }
-    for (id, server) in out.drain(..) {
-        n.wait(50 * MS);
-        n.end(&id, 0, server, Outcome::Ok);
+        let attempt = node.request_started(SAFE);
+        assert_eq!(attempt.endpoint, EndpointId(1));
+        node.complete(&attempt);
     }
-    let mut refusals = 0;
-    for step in 0..200 {
-        n.wait(MS);
-        if step % 20 == 0 {
-            n.tick();
-        }
-        let (_, actions) = n.ask(0, 1.0);
-        if let Some(advice) = refused(&actions) {
-            refusals += 1;
-            assert!((1..=2 * SECOND).contains(&advice), "turned away with no word of when to come back");
-        }
-        out.extend(sent(&actions));
-    }
-    assert!(refusals > 50, "{refusals} refused of 200 in 0.2 s on two servers at 20 a second");
-    for (id, server) in out {
-        n.wait(50 * MS);
-        n.end(&id, 0, server, Outcome::Ok);
-    }
-    for _ in 0..500 {
-        n.wait(20 * MS);
-        n.tick();
-    }
-    assert_eq!(sent(&n.ask(0, 1.0).1).len(), 1, "an idle fleet is not latched shut by old latencies");
+    node.event(Event::EndpointsUpdated {
+        kind: EndpointUpdateKind::Snapshot,
+        entries: vec![endpoint_entry(0, EndpointState::Active, 0)],
+    });
+    let endpoint = node.request_started(SAFE).endpoint;
+    assert_eq!(endpoint, EndpointId(0), "an endpoint that a snapshot lacks has been removed");
 }
 
 #[test]
-fn a_cold_server_gets_little_from_its_first_moment() {
-    let mut n = Node::new(open(), 4);
-    let started = n.now - MS;
-    n.event(Event::EndpointsUpdated {
-        kind: EndpointUpdateKind::Delta,
-        entries: vec![member(3, EndpointState::Active, started)],
-    });
-    let (mut cold, mut all) = (0, 0);
-    for _ in 0..150 {
-        n.wait(10 * MS);
-        let (id, server) = send_one(&mut n, 0);
-        all += 1;
-        cold += usize::from(server == EndpointId(3));
-        n.end(&id, 0, server, Outcome::Ok);
-    }
-    // The guaranteed share is 0.2 to 0.28 of a server in this window: a fourth of 150 / 4, with slack.
-    assert!(cold <= all / 4 / 3, "{cold} of {all} in the fall window");
+fn non_idempotent_request_that_may_have_run_fails_and_is_not_sent_again() {
+    let mut node = NodeUnderTest::new(settings_without_quota(), 3);
+    let attempt = node.request_started(NON_IDEMPOTENT);
+    let actions = node.end_attempt(&attempt, 0, Outcome::Reset);
+    assert!(started_attempts(&actions).is_empty() && has_failure(&actions));
 }
 
 #[test]
-fn a_server_that_takes_work_and_answers_nothing_is_left_alone() {
-    let mut n = Node::new(open(), 4);
-    let mut to_hung = 0;
-    for i in 0..400 {
-        n.wait(10 * MS);
-        n.tick();
-        let (id, server) = send_one(&mut n, 0);
-        if server == EndpointId(2) {
-            to_hung += usize::from(i >= 200);
-        } else {
-            n.end(&id, 0, server, Outcome::Ok);
-        }
-    }
-    assert!(to_hung <= 6, "{to_hung} of the last 200 went to the server that hangs");
+fn non_idempotent_request_that_never_ran_gets_another_endpoint() {
+    let mut node = NodeUnderTest::new(settings_without_quota(), 3);
+    let attempt = node.request_started(NON_IDEMPOTENT);
+    let retries = started_attempts(&node.end_attempt(&attempt, 0, Outcome::ConnectFailed));
+    assert_eq!(retries.len(), 1);
+    assert_ne!(retries[0].endpoint, attempt.endpoint);
 }
 
 #[test]
-fn a_server_that_breaks_all_is_out_soon_though_others_break_some() {
-    let mut n = Node::new(open(), 3);
-    let mut to_dead = 0;
-    for i in 0..600 {
-        n.wait(10 * MS);
-        n.tick();
-        let (id, server) = send_one(&mut n, 0);
-        let dead = i >= 300 && server == EndpointId(1);
-        to_dead += usize::from(dead);
-        let outcome = if dead || i % 8 == 0 { Outcome::Reset } else { Outcome::Ok };
-        for (id, server) in sent(&n.end(&id, 0, server, outcome)) {
-            n.end(&id, 1, server, Outcome::Ok);
-        }
-    }
-    assert!((1..=8).contains(&to_dead), "{to_dead} of the last 300 went to the server that breaks all");
+fn keyed_request_is_sent_again_within_its_cell_and_its_window() {
+    let mut node = NodeUnderTest::new(settings_without_quota(), 6);
+    let attempt = node.request_started(KEYED);
+    let retries = started_attempts(&node.end_attempt(&attempt, 0, Outcome::Reset));
+    assert_eq!(retries.len(), 1);
+    assert_eq!(retries[0].endpoint.0 % 2, attempt.endpoint.0 % 2, "the same cell");
+    node.advance(SECOND + MILLISECOND);
+    let actions = node.end_attempt(&retries[0], 1, Outcome::Reset);
+    assert!(started_attempts(&actions).is_empty() && has_failure(&actions), "past the window");
 }
 
 #[test]
-fn stale_events_are_ignored() {
-    let mut n = Node::new(open(), 2);
-    n.end(&"never".into(), 3, EndpointId(99), Outcome::Ok);
-    n.event(Event::ClientDisconnected { request: "never".into() });
-    n.event(Event::ResponseStarted { request: "never".into() });
-    n.event(Event::ProbeCompleted { endpoint: EndpointId(99), outcome: Outcome::Ok });
-    n.counted(CounterKey(5), Outcome::Ok, 3.0);
-    n.event(Event::TimerFired { id: 77 });
-    let (id, server) = send_one(&mut n, 0);
-    n.end(&id, 9, server, Outcome::Ok);
-    n.end(&id, 0, server, Outcome::Ok);
-    assert!(n.end(&id, 0, server, Outcome::TimedOut).is_empty(), "an attempt ends once");
+fn keyed_request_is_not_sent_again_where_its_connection_may_come_up_after_the_window() {
+    let cases = [(SECOND - 101 * MILLISECOND, true), (SECOND - 100 * MILLISECOND, false)];
+    for (elapsed, is_sent_again) in cases {
+        let mut node = NodeUnderTest::new(settings_without_quota(), 6);
+        let attempt = node.request_started(KEYED);
+        node.advance(elapsed);
+        let actions = node.end_attempt(&attempt, 0, Outcome::Reset);
+        assert_eq!(!started_attempts(&actions).is_empty(), is_sent_again, "{elapsed} after the first");
+        assert_eq!(has_failure(&actions), !is_sent_again);
+    }
 }
 
 #[test]
-fn with_no_servers_a_request_is_held_and_then_answered() {
-    let mut n = Node::new(open(), 0);
-    let (_, actions) = n.ask(0, 1.0);
-    assert!(sent(&actions).is_empty() && refused(&actions).is_none());
-    n.wait(600 * MS);
-    assert!(refused(&n.tick()).is_some());
+fn retry_that_comes_at_its_deadline_is_rejected_at_once() {
+    let mut node = NodeUnderTest::new(settings_without_quota(), 2);
+    let request =
+        NewRequest { account_node_count: 1, is_retry: true, ..request_with_id("late", SAFE, node.now) };
+    let actions = node.event(Event::RequestReceived(request));
+    assert!(started_attempts(&actions).is_empty() && rejection(&actions).is_some());
 }
 
 #[test]
-fn a_server_that_recovers_is_used_again_though_unsafe_work_still_hangs_there() {
-    let mut n = Node::new(open(), 2);
-    for _ in 0..50 {
-        n.wait(20 * MS);
-        let (id, server) = send_one(&mut n, 0);
-        n.end(&id, 0, server, Outcome::Ok);
-    }
-    while send_one(&mut n, 2).1 != EndpointId(1) {} // left hanging
-    let mut back = 0;
-    for _ in 0..75 {
-        n.wait(20 * MS);
-        n.tick();
-        let (id, server) = send_one(&mut n, 0);
-        back += usize::from(server == EndpointId(1));
-        n.end(&id, 0, server, Outcome::Ok);
-    }
-    assert!(back > 20, "{back} of 75 in 1.5 s went to the server that answers again");
+fn events_about_what_is_over_are_ignored() {
+    let mut node = NodeUnderTest::new(settings_without_quota(), 2);
+    let unknown = StartedAttempt { request: "never".into(), endpoint: EndpointId(99) };
+    node.end_attempt(&unknown, 3, Outcome::Ok);
+    node.event(Event::ClientDisconnected { request: "never".into() });
+    node.event(Event::ResponseStarted { request: "never".into() });
+    node.event(Event::ProbeCompleted { endpoint: EndpointId(99), outcome: Outcome::Ok });
+    node.event(Event::CounterReplied { key: CounterKey(5), outcome: Outcome::Ok, total: 3.0 });
+    node.event(Event::TimerFired { id: 77 });
+    let attempt = node.request_started(SAFE);
+    node.end_attempt(&attempt, 9, Outcome::Ok);
+    node.end_attempt(&attempt, 0, Outcome::Ok);
+    let actions = node.end_attempt(&attempt, 0, Outcome::TimedOut);
+    assert!(actions.is_empty(), "an attempt ends once");
 }
 
 #[test]
-fn a_burst_by_chance_in_an_idle_fleet_is_let_in() {
-    let mut n = Node::new(open(), 3);
-    // 100 requests a second, each answered in 50 ms.
-    let mut flying = std::collections::VecDeque::new();
-    for step in 0..400 {
-        n.wait(10 * MS);
-        if step % 2 == 0 {
-            n.tick();
-        }
-        flying.push_back(send_one(&mut n, 0));
-        if flying.len() > 5 {
-            let (id, server) = flying.pop_front().expect("one out");
-            n.end(&id, 0, server, Outcome::Ok);
-        }
-    }
-    for _ in 0..60 {
-        send_one(&mut n, 0);
-    }
+fn request_without_an_endpoint_waits_and_is_then_rejected() {
+    let mut node = NodeUnderTest::new(settings_without_quota(), 0);
+    let actions = node.request(SAFE, 1.0).actions;
+    assert!(started_attempts(&actions).is_empty() && rejection(&actions).is_none());
+    node.advance(600 * MILLISECOND);
+    assert!(rejection(&node.tick()).is_some());
 }
 
 #[test]
-fn an_id_that_is_used_again_while_its_first_request_waited_is_sent_once() {
-    // Waiting for the counter, and waiting for an app server to be listed.
-    for (set, servers) in [(settings(), 2), (open(), 0)] {
-        let mut n = Node::new(set, servers);
-        let request = |now| NewRequest {
-            id: "again".into(),
-            account: AccountId(1),
-            class: 2,
-            plan: 0,
-            units: 1.0,
-            first_account_node: 0,
-            account_node_count: 3,
-            is_retry: false,
-            deadline: now + 2 * SECOND,
-        };
-        let held = n.event(Event::RequestReceived(request(n.now)));
-        assert!(sent(&held).is_empty());
-        n.event(Event::ClientDisconnected { request: "again".into() });
-        n.event(Event::RequestReceived(request(n.now)));
-        let mut actions = match call(&held) {
-            Some((name, amount)) => n.counted(name, Outcome::Ok, amount),
+fn id_used_again_while_its_first_request_waited_is_sent_once() {
+    // The first request waits for the counter, or for an endpoint.
+    for (settings, endpoint_count) in [(settings_with_quota(), 2), (settings_without_quota(), 0)] {
+        let mut node = NodeUnderTest::new(settings, endpoint_count);
+        let request = request_with_id("again", NON_IDEMPOTENT, node.now + 2 * SECOND);
+        let actions_of_first = node.event(Event::RequestReceived(request.clone()));
+        assert!(started_attempts(&actions_of_first).is_empty());
+        node.event(Event::ClientDisconnected { request: "again".into() });
+        node.event(Event::RequestReceived(request));
+        let mut actions = match counter_call(&actions_of_first) {
+            Some(call) => node.end_counter_call(call, Outcome::Ok, call.amount),
             None => Vec::new(),
         };
-        n.event(Event::EndpointsUpdated {
-            kind: EndpointUpdateKind::Delta,
-            entries: vec![member(9, EndpointState::Active, 0)],
-        });
-        actions.extend(n.tick());
-        assert_eq!(sent(&actions).len(), 1, "with {servers} servers");
-    }
-}
-
-#[test]
-fn a_keyed_request_is_not_sent_again_where_its_connection_may_come_up_after_the_window() {
-    for (spent, again) in [(SECOND - 101 * MS, true), (SECOND - 100 * MS, false)] {
-        let mut n = Node::new(open(), 6);
-        let (id, server) = send_one(&mut n, 1);
-        n.wait(spent);
-        let actions = n.end(&id, 0, server, Outcome::Reset);
-        assert_eq!(!sent(&actions).is_empty(), again, "after {spent} of the window");
-        assert_eq!(failed(&actions), !again);
+        node.update_endpoint(endpoint_entry(9, EndpointState::Active, 0));
+        actions.extend(node.tick());
+        assert_eq!(started_attempts(&actions).len(), 1, "with {endpoint_count} endpoints");
     }
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -2,8 +2,8 @@
 
 use std::path::Path;
 
-/// Most characters in one line.
-const WIDTH: usize = 110;
+/// The most characters in one line.
+const MAX_LINE_WIDTH: usize = 110;
 
 /// All files below a folder, sorted by path.
 fn files_below(folder: &Path) -> Vec<String> {
@@ -31,7 +31,11 @@
         let text = std::fs::read_to_string(&file).expect("a text file");
         for (index, line) in text.lines().enumerate() {
             let width = line.chars().count();
-            assert!(width <= WIDTH, "{file}:{}: {width} characters; {WIDTH} are allowed", index + 1);
+            assert!(
+                width <= MAX_LINE_WIDTH,
+                "{file}:{}: {width} characters; {MAX_LINE_WIDTH} are allowed",
+                index + 1
+            );
         }
     }
 }
--- /dev/null
+++ b/tests/load_shedding.rs
@@ -0,0 +1,73 @@
+//! Load shedding: requests are shed while the fleet is full, and only then.
+
+mod common;
+
+use std::collections::VecDeque;
+
+use common::{
+    rejection, settings_without_quota, started_attempts, NodeUnderTest, StartedAttempt, MILLISECOND, SAFE,
+    SECOND,
+};
+
+/// Completes the attempts, one every 50 ms.
+fn complete_slowly(node: &mut NodeUnderTest, attempts: Vec<StartedAttempt>) {
+    for attempt in attempts {
+        node.advance(50 * MILLISECOND);
+        node.complete(&attempt);
+    }
+}
+
+#[test]
+fn full_fleet_sheds_load_and_an_idle_one_never_does() {
+    let mut node = NodeUnderTest::new(settings_without_quota(), 2);
+    let mut in_flight = Vec::new();
+    for _ in 0..20 {
+        in_flight.push(node.request_started(SAFE));
+        node.advance(20 * MILLISECOND);
+    }
+    complete_slowly(&mut node, in_flight);
+    let mut in_flight = Vec::new();
+    let mut rejections = 0;
+    for step in 0..200 {
+        node.advance(MILLISECOND);
+        if step % 20 == 0 {
+            node.tick();
+        }
+        let actions = node.request(SAFE, 1.0).actions;
+        if let Some(retry_after) = rejection(&actions) {
+            rejections += 1;
+            assert!((1..=2 * SECOND).contains(&retry_after), "rejected without a time to come back");
+        }
+        in_flight.extend(started_attempts(&actions));
+    }
+    assert!(rejections > 50, "{rejections} of 200 rejected in 0.2 s, with two endpoints at 20 a second");
+    complete_slowly(&mut node, in_flight);
+    for _ in 0..500 {
+        node.advance(20 * MILLISECOND);
+        node.tick();
+    }
+    let attempts = started_attempts(&node.request(SAFE, 1.0).actions);
+    assert_eq!(attempts.len(), 1, "old latencies keep an idle fleet shut");
+}
+
+#[test]
+fn random_burst_in_an_idle_fleet_is_admitted() {
+    let mut node = NodeUnderTest::new(settings_without_quota(), 3);
+    // 100 requests a second, each answered in 50 ms.
+    let mut in_flight = VecDeque::new();
+    for step in 0..400 {
+        node.advance(10 * MILLISECOND);
+        if step % 2 == 0 {
+            node.tick();
+        }
+        in_flight.push_back(node.request_started(SAFE));
+        if in_flight.len() > 5 {
+            let oldest = in_flight.pop_front().expect("an attempt in flight");
+            node.complete(&oldest);
+        }
+    }
+    // A request that is shed panics in `request_started`.
+    for _ in 0..60 {
+        node.request_started(SAFE);
+    }
+}
