--- a/src/decision/balancer/failure_shares.rs
+++ b/src/decision/balancer/failure_shares.rs
@@ -6,7 +6,7 @@
 use crate::decision::{Micros, Outcome};
 
 /// Time constant of all shares of failures, in microseconds.
-pub(in crate::decision) const FAILURE_TIME_CONSTANT: f64 = 15.0e6;
+pub(super) const FAILURE_TIME_CONSTANT: f64 = 15.0e6;
 
 /// A kind of failure that is tracked on its own. An endpoint may fail one kind of request and serve the
 /// others, and is passed over for that kind alone (outlier detection by success rate).
--- a/src/decision/balancer/mod.rs
+++ b/src/decision/balancer/mod.rs
@@ -28,10 +28,6 @@
 use subset::Subset;
 
 pub(super) use endpoint::{Endpoint, COMPLETION_TIME_CONSTANT};
-pub(super) use failure_shares::FAILURE_TIME_CONSTANT;
-
-// Old name, removed at the join.
-pub(super) const TALLY_SPAN: f64 = FAILURE_TIME_CONSTANT;
 
 /// An endpoint is about as fast as the others if its response time is below this multiple of theirs.
 const TYPICAL_LATENCY_MULTIPLE: f64 = 2.0;
--- /dev/null
+++ b/tests/attempts.rs
@@ -0,0 +1,140 @@
+//! Attempts: which endpoint gets a request, when it is sent again, and what the client gets at the end.
+
+mod common;
+
+use common::{
+    counter_call, endpoint_entry, has_failure, rejection, settings_with_quota, settings_without_quota,
+    started_attempts, NodeUnderTest, StartedAttempt, KEYED, MILLISECOND, NON_IDEMPOTENT, SAFE, SECOND,
+};
+use edge_node::decision::{
+    AccountId, CounterKey, EndpointId, EndpointState, EndpointUpdateKind, Event, Micros, NewRequest, Outcome,
+};
+
+/// A request of account 1 with an id of its own.
+fn request_with_id(id: &str, class: usize, deadline: Micros) -> NewRequest {
+    NewRequest {
+        id: id.into(),
+        account: AccountId(1),
+        class,
+        plan: 0,
+        units: 1.0,
+        first_account_node: 0,
+        account_node_count: 3,
+        is_retry: false,
+        deadline,
+    }
+}
+
+#[test]
+fn draining_or_unlisted_endpoint_gets_no_attempt() {
+    let mut node = NodeUnderTest::new(settings_without_quota(), 2);
+    node.update_endpoint(endpoint_entry(0, EndpointState::Draining, 0));
+    for _ in 0..20 {
+        let attempt = node.request_started(SAFE);
+        assert_eq!(attempt.endpoint, EndpointId(1));
+        node.complete(&attempt);
+    }
+    node.event(Event::EndpointsUpdated {
+        kind: EndpointUpdateKind::Snapshot,
+        entries: vec![endpoint_entry(0, EndpointState::Active, 0)],
+    });
+    let endpoint = node.request_started(SAFE).endpoint;
+    assert_eq!(endpoint, EndpointId(0), "an endpoint that a snapshot lacks has been removed");
+}
+
+#[test]
+fn non_idempotent_request_that_may_have_run_fails_and_is_not_sent_again() {
+    let mut node = NodeUnderTest::new(settings_without_quota(), 3);
+    let attempt = node.request_started(NON_IDEMPOTENT);
+    let actions = node.end_attempt(&attempt, 0, Outcome::Reset);
+    assert!(started_attempts(&actions).is_empty() && has_failure(&actions));
+}
+
+#[test]
+fn non_idempotent_request_that_never_ran_gets_another_endpoint() {
+    let mut node = NodeUnderTest::new(settings_without_quota(), 3);
+    let attempt = node.request_started(NON_IDEMPOTENT);
+    let retries = started_attempts(&node.end_attempt(&attempt, 0, Outcome::ConnectFailed));
+    assert_eq!(retries.len(), 1);
+    assert_ne!(retries[0].endpoint, attempt.endpoint);
+}
+
+#[test]
+fn keyed_request_is_sent_again_within_its_cell_and_its_window() {
+    let mut node = NodeUnderTest::new(settings_without_quota(), 6);
+    let attempt = node.request_started(KEYED);
+    let retries = started_attempts(&node.end_attempt(&attempt, 0, Outcome::Reset));
+    assert_eq!(retries.len(), 1);
+    assert_eq!(retries[0].endpoint.0 % 2, attempt.endpoint.0 % 2, "the same cell");
+    node.advance(SECOND + MILLISECOND);
+    let actions = node.end_attempt(&retries[0], 1, Outcome::Reset);
+    assert!(started_attempts(&actions).is_empty() && has_failure(&actions), "past the window");
+}
+
+#[test]
+fn keyed_request_is_not_sent_again_where_its_connection_may_come_up_after_the_window() {
+    let cases = [(SECOND - 101 * MILLISECOND, true), (SECOND - 100 * MILLISECOND, false)];
+    for (elapsed, is_sent_again) in cases {
+        let mut node = NodeUnderTest::new(settings_without_quota(), 6);
+        let attempt = node.request_started(KEYED);
+        node.advance(elapsed);
+        let actions = node.end_attempt(&attempt, 0, Outcome::Reset);
+        assert_eq!(!started_attempts(&actions).is_empty(), is_sent_again, "{elapsed} after the first");
+        assert_eq!(has_failure(&actions), !is_sent_again);
+    }
+}
+
+#[test]
+fn retry_that_comes_at_its_deadline_is_rejected_at_once() {
+    let mut node = NodeUnderTest::new(settings_without_quota(), 2);
+    let request =
+        NewRequest { account_node_count: 1, is_retry: true, ..request_with_id("late", SAFE, node.now) };
+    let actions = node.event(Event::RequestReceived(request));
+    assert!(started_attempts(&actions).is_empty() && rejection(&actions).is_some());
+}
+
+#[test]
+fn events_about_what_is_over_are_ignored() {
+    let mut node = NodeUnderTest::new(settings_without_quota(), 2);
+    let unknown = StartedAttempt { request: "never".into(), endpoint: EndpointId(99) };
+    node.end_attempt(&unknown, 3, Outcome::Ok);
+    node.event(Event::ClientDisconnected { request: "never".into() });
+    node.event(Event::ResponseStarted { request: "never".into() });
+    node.event(Event::ProbeCompleted { endpoint: EndpointId(99), outcome: Outcome::Ok });
+    node.event(Event::CounterReplied { key: CounterKey(5), outcome: Outcome::Ok, total: 3.0 });
+    node.event(Event::TimerFired { id: 77 });
+    let attempt = node.request_started(SAFE);
+    node.end_attempt(&attempt, 9, Outcome::Ok);
+    node.end_attempt(&attempt, 0, Outcome::Ok);
+    let actions = node.end_attempt(&attempt, 0, Outcome::TimedOut);
+    assert!(actions.is_empty(), "an attempt ends once");
+}
+
+#[test]
+fn request_without_an_endpoint_waits_and_is_then_rejected() {
+    let mut node = NodeUnderTest::new(settings_without_quota(), 0);
+    let actions = node.request(SAFE, 1.0).actions;
+    assert!(started_attempts(&actions).is_empty() && rejection(&actions).is_none());
+    node.advance(600 * MILLISECOND);
+    assert!(rejection(&node.tick()).is_some());
+}
+
+#[test]
+fn id_used_again_while_its_first_request_waited_is_sent_once() {
+    // The first request waits for the counter, or for an endpoint.
+    for (settings, endpoint_count) in [(settings_with_quota(), 2), (settings_without_quota(), 0)] {
+        let mut node = NodeUnderTest::new(settings, endpoint_count);
+        let request = request_with_id("again", NON_IDEMPOTENT, node.now + 2 * SECOND);
+        let actions_of_first = node.event(Event::RequestReceived(request.clone()));
+        assert!(started_attempts(&actions_of_first).is_empty());
+        node.event(Event::ClientDisconnected { request: "again".into() });
+        node.event(Event::RequestReceived(request));
+        let mut actions = match counter_call(&actions_of_first) {
+            Some(call) => node.end_counter_call(call, Outcome::Ok, call.amount),
+            None => Vec::new(),
+        };
+        node.update_endpoint(endpoint_entry(9, EndpointState::Active, 0));
+        actions.extend(node.tick());
+        assert_eq!(started_attempts(&actions).len(), 1, "with {endpoint_count} endpoints");
+    }
+}
