--- /dev/null
+++ b/tests/endpoint_selection.rs
@@ -0,0 +1,413 @@
+//! The selection of endpoints at any size of fleet: the same as a plain scan of the whole list, with work
+//! that does not grow with the fleet.
+
+mod common;
+mod oracle;
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+use common::{
+    request_class, settings_without_quota, started_attempts, NodeUnderTest, StartedAttempt, MILLISECOND,
+    SAFE, SECOND,
+};
+use edge_node::decision::{
+    AccountId, DecisionEngine, DeduplicationScope, EndedAttempt, EndpointEntry, EndpointId, EndpointState,
+    EndpointUpdateKind, Event, Idempotency, Micros, NewRequest, Outcome, RequestClass, RequestId, Settings,
+};
+use oracle::{CheckedAttempts, Oracle};
+
+/// Settings of one of so many nodes, with a class whose repeats are bound to a zone besides the usual three.
+fn settings_of_node(node_index: u32, node_count: u32) -> Settings {
+    let mut settings =
+        Settings { node_index, node_count, zone: 1, cross_zone_cost: 0.2, ..settings_without_quota() };
+    let bound_to_zone =
+        RequestClass { deduplication_scope: DeduplicationScope::Zone, ..request_class(Idempotency::Keyed) };
+    settings.classes.push(bound_to_zone);
+    settings
+}
+
+/// The entry of the endpoint of this number. The ids are spread over their range, and neighbours on the ring
+/// are in different zones and cells.
+fn entry(number: u64, state: EndpointState, started_at: Micros) -> EndpointEntry {
+    EndpointEntry {
+        id: EndpointId(number.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 1),
+        zone: (number % 5) as u32,
+        cell: (number % 97) as u32,
+        state,
+        started_at,
+        weight: 1.0 + (number % 3) as f64,
+        ..EndpointEntry::default()
+    }
+}
+
+fn active_entry(number: u64) -> EndpointEntry {
+    entry(number, EndpointState::Active, 0)
+}
+
+fn snapshot(numbers: impl Iterator<Item = u64>) -> Event {
+    Event::EndpointsUpdated {
+        kind: EndpointUpdateKind::Snapshot,
+        entries: numbers.map(active_entry).collect(),
+    }
+}
+
+fn delta(entries: Vec<EndpointEntry>) -> Event {
+    Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, entries }
+}
+
+struct AttemptInFlight {
+    request: RequestId,
+    attempt_number: u32,
+    endpoint: EndpointId,
+    sent_at: Micros,
+}
+
+/// A node and the oracle that follows it through seeded events.
+struct CheckedNode {
+    node: NodeUnderTest,
+    oracle: Oracle,
+    random: fastrand::Rng,
+    settings: Settings,
+    /// The numbers of the endpoints on the list.
+    listed: Vec<u64>,
+    in_flight: Vec<AttemptInFlight>,
+    attempt_counts: BTreeMap<RequestId, u32>,
+}
+
+impl CheckedNode {
+    fn new(seed: u64, endpoint_count: u64, settings: Settings) -> CheckedNode {
+        let mut node = NodeUnderTest::new(settings.clone(), 0);
+        node.node = DecisionEngine::new(seed, settings.clone());
+        let mut checked = CheckedNode {
+            node,
+            oracle: Oracle::new(seed, settings.clone()),
+            random: fastrand::Rng::with_seed(seed),
+            settings,
+            listed: (0..endpoint_count).collect(),
+            in_flight: Vec::new(),
+            attempt_counts: BTreeMap::new(),
+        };
+        checked.event(snapshot(0..endpoint_count));
+        checked
+    }
+
+    fn event(&mut self, event: Event) {
+        let actions = self.node.event(event.clone());
+        self.oracle.follow(self.node.now, &event, &actions);
+        for started in started_attempts(&actions) {
+            let attempt_count = self.attempt_counts.entry(started.request.clone()).or_default();
+            self.in_flight.push(AttemptInFlight {
+                request: started.request,
+                attempt_number: *attempt_count,
+                endpoint: started.endpoint,
+                sent_at: self.node.now,
+            });
+            *attempt_count += 1;
+        }
+    }
+
+    fn request(&mut self) {
+        let id = format!("r{}", self.random.u64(..)).as_str().into();
+        let class = self.random.usize(..4);
+        self.event(Event::RequestReceived(NewRequest {
+            id,
+            account: AccountId(1),
+            class,
+            plan: 0,
+            units: 1.0,
+            first_account_node: 0,
+            account_node_count: 1,
+            is_retry: false,
+            deadline: self.node.now + 2 * SECOND,
+        }));
+    }
+
+    /// One of the attempts in flight ends. During an outage a third of the endpoints fail half of what they
+    /// get.
+    fn end_attempt(&mut self, is_outage: bool) {
+        let attempt = self.in_flight.swap_remove(self.random.usize(..self.in_flight.len()));
+        let failures =
+            [Outcome::ConnectFailed, Outcome::TimedOut, Outcome::Reset, Outcome::Error, Outcome::Rejected];
+        let is_hit = is_outage && attempt.endpoint.0.is_multiple_of(3) && self.random.bool();
+        let fails = is_hit || self.random.u32(..20) == 0;
+        let outcome = if fails { failures[self.random.usize(..5)] } else { Outcome::Ok };
+        self.event(Event::AttemptEnded(EndedAttempt {
+            request: attempt.request,
+            attempt_number: attempt.attempt_number,
+            endpoint: attempt.endpoint,
+            outcome,
+            elapsed: self.node.now - attempt.sent_at,
+            request_completed: outcome == Outcome::Ok,
+            final_units: None,
+        }));
+    }
+
+    /// A restart, a drain, a return, a removal, a new endpoint or the removal of one that nobody knows.
+    fn change_an_endpoint(&mut self) {
+        let now = self.node.now;
+        let number = self.listed[self.random.usize(..self.listed.len())];
+        let changed = match self.random.u32(..6) {
+            0 => entry(number, EndpointState::Active, now - self.random.u64(..SECOND)),
+            1 => entry(number, EndpointState::Draining, 0),
+            2 => active_entry(number),
+            3 => {
+                self.listed.retain(|&listed| listed != number);
+                entry(number, EndpointState::Removed, 0)
+            }
+            4 => {
+                let new = 1 << 40 | now;
+                self.listed.push(new);
+                entry(new, EndpointState::Active, now)
+            }
+            _ => entry(1 << 50 | now, EndpointState::Removed, 0),
+        };
+        self.event(delta(vec![changed]));
+    }
+
+    /// So many endpoints next to each other, from this node's first position on, restart at once.
+    fn restart_neighbours(&mut self, count: usize) {
+        let now = self.node.now;
+        let mut ring: Vec<EndpointEntry> =
+            self.listed.iter().map(|&number| entry(number, EndpointState::Active, now)).collect();
+        ring.sort_by_key(|entry| entry.id);
+        let first = self.settings.node_index as usize * ring.len() / self.settings.node_count as usize;
+        ring.rotate_left(first);
+        ring.truncate(count);
+        self.event(delta(ring));
+    }
+
+    /// A snapshot that lacks one in fifty, in another order.
+    fn shrink_by_snapshot(&mut self) {
+        let mut numbers = self.listed.clone();
+        self.random.shuffle(&mut numbers);
+        numbers.truncate(numbers.len() - numbers.len() / 50);
+        self.listed = numbers.clone();
+        self.event(snapshot(numbers.into_iter()));
+    }
+}
+
+/// Checks seeded events at a fleet of this size. Returns how many attempts were checked.
+fn check(seed: u64, endpoint_count: u64, node_count: u32, event_count: u32) -> CheckedAttempts {
+    let settings = settings_of_node(node_count / 2, node_count);
+    let mut checked = CheckedNode::new(seed, endpoint_count, settings);
+    let mut next_tick = checked.node.now;
+    for number in 0..event_count {
+        checked.node.now += checked.random.u64(..10 * MILLISECOND);
+        while next_tick <= checked.node.now {
+            next_tick += 20 * MILLISECOND;
+            checked.event(Event::TimerFired { id: 0 });
+        }
+        match checked.random.u32(..100) {
+            _ if number == event_count / 2 => checked.restart_neighbours(endpoint_count as usize / 4),
+            _ if number % 400 == 399 => checked.shrink_by_snapshot(),
+            0..3 => checked.change_an_endpoint(),
+            3..52 => checked.request(),
+            _ if !checked.in_flight.is_empty() => checked.end_attempt(number % 300 > 150),
+            _ => {}
+        }
+    }
+    checked.oracle.checked
+}
+
+#[test]
+fn selection_equals_a_plain_scan_where_the_subset_is_the_whole_list() {
+    for seed in 0..4 {
+        let checked = check(seed, 24, 3, 1_500);
+        assert!(checked.all > 300 && checked.bound_repeats > 5, "{checked:?}");
+    }
+}
+
+#[test]
+fn selection_equals_a_plain_scan_at_200_endpoints() {
+    for seed in 0..4 {
+        let checked = check(seed, 200, 300, 1_500);
+        assert!(checked.all > 300 && checked.beyond_subset > 5 && checked.bound_repeats > 5, "{checked:?}");
+    }
+}
+
+#[test]
+fn selection_equals_a_plain_scan_at_up_to_46_000_endpoints() {
+    for (seed, endpoint_count, node_count, event_count) in
+        [(1, 600, 300, 1_600), (2, 4_600, 570, 300), (3, 46_000, 5_700, 90)]
+    {
+        let checked = check(seed, endpoint_count, node_count, event_count);
+        let least = if endpoint_count > 1_000 {
+            CheckedAttempts { all: 20, beyond_subset: 5, bound_repeats: 0 }
+        } else {
+            CheckedAttempts { all: 200, beyond_subset: 20, bound_repeats: 5 }
+        };
+        assert!(
+            checked.all >= least.all
+                && checked.beyond_subset >= least.beyond_subset
+                && checked.bound_repeats >= least.bound_repeats,
+            "{checked:?}"
+        );
+    }
+}
+
+/// How much work a node does.
+struct Work {
+    /// Most endpoints examined for a request.
+    examined_per_request: u64,
+    /// Most endpoints examined for a tick.
+    examined_per_tick: u64,
+    /// Entries changed by a delta of two entries, of which one differs.
+    changed_by_delta: u64,
+    /// Entries changed by a snapshot that differs in three endpoints.
+    changed_by_snapshot: u64,
+}
+
+/// Measures one of so many nodes before so many endpoints in steady traffic.
+fn measure_work(endpoint_count: u64, node_count: u32) -> Work {
+    let mut node = NodeUnderTest::new(settings_of_node(node_count / 2, node_count), 0);
+    node.event(snapshot(0..endpoint_count));
+    let mut examined_per_request = 0;
+    let mut examined_per_tick = 0;
+    let mut in_flight: VecDeque<StartedAttempt> = VecDeque::new();
+    for number in 0..600 {
+        node.advance(8 * MILLISECOND);
+        let before = node.node.work().0;
+        in_flight.push_back(node.request_started(SAFE));
+        examined_per_request = examined_per_request.max(node.node.work().0 - before);
+        if in_flight.len() > 6 {
+            let oldest = in_flight.pop_front().expect("one is in flight");
+            node.complete(&oldest);
+        }
+        if number % 3 == 0 {
+            let before = node.node.work().0;
+            node.tick();
+            examined_per_tick = examined_per_tick.max(node.node.work().0 - before);
+        }
+    }
+    let before = node.node.work().1;
+    node.event(delta(vec![entry(5, EndpointState::Active, node.now), active_entry(6)]));
+    let changed_by_delta = node.node.work().1 - before;
+    let before = node.node.work().1;
+    node.event(snapshot_with_three_changes(endpoint_count, node.now));
+    let changed_by_snapshot = node.node.work().1 - before;
+    Work { examined_per_request, examined_per_tick, changed_by_delta, changed_by_snapshot }
+}
+
+/// A snapshot after endpoint 5 restarted now, which is known: one drains, one was removed, and one is new.
+fn snapshot_with_three_changes(endpoint_count: u64, now: Micros) -> Event {
+    let mut entries: Vec<EndpointEntry> = (0..endpoint_count).map(active_entry).collect();
+    entries[5].started_at = now;
+    entries[7].state = EndpointState::Draining;
+    entries[9] = active_entry(endpoint_count + 1);
+    Event::EndpointsUpdated { kind: EndpointUpdateKind::Snapshot, entries }
+}
+
+#[test]
+fn work_grows_with_the_subset_and_not_with_the_fleet() {
+    for (endpoint_count, node_count) in [(200_u64, 300), (4_600, 570), (46_000, 5_700)] {
+        let subset_size = (endpoint_count * 24).div_ceil(u64::from(node_count)).max(12);
+        let work = measure_work(endpoint_count, node_count);
+        // A decision sums up the warm fractions of the subset, examines it or a list of up to 256, and asks
+        // at most twice how fast the endpoints with traffic respond.
+        let with_traffic = subset_size.max(16);
+        let for_request = work.examined_per_request;
+        assert!(
+            for_request <= subset_size + subset_size.max(256) + 2 * with_traffic,
+            "{for_request} endpoints of {endpoint_count} examined for a request"
+        );
+        let for_tick = work.examined_per_tick;
+        assert!(for_tick <= 2 * with_traffic, "{for_tick} endpoints of {endpoint_count} examined for a tick");
+        assert_eq!(work.changed_by_delta, 1, "entries changed by a delta, {endpoint_count} endpoints");
+        assert_eq!(work.changed_by_snapshot, 3, "entries changed by a snapshot, {endpoint_count} endpoints");
+    }
+}
+
+/// The endpoints that a node sends 60 requests to.
+fn endpoints_in_use(node: &mut NodeUnderTest) -> BTreeSet<EndpointId> {
+    let mut in_use = BTreeSet::new();
+    for _ in 0..60 {
+        node.advance(100 * MILLISECOND);
+        let attempt = node.request_started(SAFE);
+        node.complete(&attempt);
+        in_use.insert(attempt.endpoint);
+    }
+    in_use
+}
+
+#[test]
+fn snapshot_that_replaces_all_endpoints_leaves_none_of_the_old_in_use() {
+    let mut node = NodeUnderTest::new(settings_of_node(0, 300), 0);
+    node.event(snapshot(0..1_000));
+    let old_attempt = node.request_started(SAFE);
+    node.event(snapshot(1_000..2_000));
+    let new: BTreeSet<EndpointId> = (1_000..2_000).map(|number| active_entry(number).id).collect();
+    assert!(endpoints_in_use(&mut node).is_subset(&new));
+    // The endpoint where an attempt is still in flight is kept until that ends.
+    assert_eq!(node.node.kept().1, 1_001);
+    node.complete(&old_attempt);
+    node.advance(SECOND);
+    node.tick();
+    assert_eq!(node.node.kept().1, 1_000);
+}
+
+#[test]
+fn of_two_entries_for_an_endpoint_in_one_update_the_later_counts() {
+    let orders =
+        [(EndpointState::Draining, EndpointState::Active), (EndpointState::Active, EndpointState::Draining)];
+    for kind in [EndpointUpdateKind::Snapshot, EndpointUpdateKind::Delta] {
+        for (first, last) in orders {
+            let mut node = NodeUnderTest::new(settings_of_node(0, 1), 0);
+            node.event(snapshot(0..3));
+            let entries = vec![entry(2, first, 0), active_entry(0), active_entry(1), entry(2, last, 0)];
+            node.event(Event::EndpointsUpdated { kind, entries });
+            let listed_twice = active_entry(2).id;
+            let is_in_use = endpoints_in_use(&mut node).contains(&listed_twice);
+            assert_eq!(is_in_use, last == EndpointState::Active, "{kind:?}, {last:?}");
+            assert_eq!(node.node.kept().1, 3);
+        }
+    }
+}
+
+#[test]
+fn delta_for_an_unknown_endpoint_adds_it_or_does_nothing() {
+    let mut node = NodeUnderTest::new(settings_of_node(0, 1), 0);
+    node.event(snapshot(0..2));
+    node.event(delta(vec![entry(8, EndpointState::Removed, 0), entry(9, EndpointState::Draining, 0)]));
+    assert_eq!(node.node.kept().1, 3, "the one that was removed is not kept");
+    assert_eq!(endpoints_in_use(&mut node).len(), 2);
+    node.event(delta(vec![active_entry(7)]));
+    assert_eq!(node.node.kept().1, 4);
+    assert_eq!(endpoints_in_use(&mut node).len(), 3);
+}
+
+/// By endpoint, how many of the nodes that are up send to it.
+fn nodes_by_endpoint(node_count: u32, endpoint_count: u64, is_up: impl Fn(u32) -> bool) -> Vec<u32> {
+    // One weight for all: each endpoint is drawn alike, and none of a subset is left out in so many requests.
+    let entries: Vec<EndpointEntry> =
+        (0..endpoint_count).map(|number| EndpointEntry { weight: 1.0, ..active_entry(number) }).collect();
+    let mut node_counts: BTreeMap<EndpointId, u32> = entries.iter().map(|entry| (entry.id, 0)).collect();
+    for node_index in (0..node_count).filter(|&index| is_up(index)) {
+        let settings = Settings { node_index, node_count, ..settings_without_quota() };
+        let mut node = NodeUnderTest::new(settings, 0);
+        let entries = entries.clone();
+        node.event(Event::EndpointsUpdated { kind: EndpointUpdateKind::Snapshot, entries });
+        let mut in_use = BTreeSet::new();
+        for _ in 0..10 {
+            in_use.extend(endpoints_in_use(&mut node));
+        }
+        for endpoint in in_use {
+            *node_counts.entry(endpoint).or_default() += 1;
+        }
+    }
+    node_counts.into_values().collect()
+}
+
+#[test]
+fn each_endpoint_is_in_as_many_subsets_as_any_other_until_nodes_are_down() {
+    let node_count = 60;
+    let endpoint_count = 90;
+    let all_up = nodes_by_endpoint(node_count, endpoint_count, |_| true);
+    assert_eq!(all_up, vec![24; endpoint_count as usize], "90 endpoints, 36 in each of 60 subsets");
+    // A tenth of the nodes down here and there takes from an endpoint two or three of its 24 nodes.
+    let scattered = nodes_by_endpoint(node_count, endpoint_count, |index| index % 10 != 3);
+    assert!(scattered.iter().all(|count| (21..=22).contains(count)), "{scattered:?}");
+    // It does not hold for a tenth next to each other: six of 24. No node moves up for one that is down.
+    let adjacent = nodes_by_endpoint(node_count, endpoint_count, |index| !(20..26).contains(&index));
+    assert_eq!(adjacent.iter().min(), Some(&18), "{adjacent:?}");
+    assert_eq!(adjacent.iter().max(), Some(&24), "{adjacent:?}");
+}
--- /dev/null
+++ b/tests/oracle/selection.rs
@@ -0,0 +1,276 @@
+//! Which endpoint an attempt should be sent to, found by a scan of the whole list.
+
+use std::collections::BTreeSet;
+
+use edge_node::decision::{DeduplicationScope, EndpointId, EndpointState, Idempotency, RequestId};
+
+use super::{Endpoint, FailureKind, Oracle};
+
+/// Of a list longer than this only the subset is examined and, if nobody there is available, so many others.
+const MAX_EXAMINED: usize = 256;
+
+/// How an endpoint ranks: the least is preferred, the fields count in this order.
+#[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
+struct Rank {
+    is_unavailable: bool,
+    is_beyond_subset: bool,
+    is_not_warming_and_due: bool,
+    cost: f64,
+}
+
+#[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
+struct Ranked {
+    rank: Rank,
+    endpoint: EndpointId,
+}
+
+/// What is the same for all endpoints that are compared for one attempt.
+struct Comparison {
+    exclude: Option<EndpointId>,
+    subset: BTreeSet<EndpointId>,
+    /// Weight of chance beside the node's own load counts.
+    exploration: f64,
+    class: (FailureKind, f64),
+    plan: (FailureKind, f64),
+    unanswered: (FailureKind, f64),
+}
+
+impl Oracle {
+    /// The endpoint that a request should be sent to, if any may be sent it.
+    pub fn select(&mut self, id: &RequestId, exclude: Option<EndpointId>) -> Option<EndpointId> {
+        let ring = self.ring();
+        if ring.len() <= MAX_EXAMINED {
+            let mut by_id = ring;
+            by_id.sort();
+            let mut random_state = self.random_state;
+            let best = self.best_of(id, exclude, &by_id, &mut random_state);
+            self.random_state = random_state;
+            return best.map(|best| best.endpoint);
+        }
+        self.select_from_long_list(id, exclude, &ring)
+    }
+
+    fn select_from_long_list(
+        &mut self,
+        id: &RequestId,
+        exclude: Option<EndpointId>,
+        ring: &[EndpointId],
+    ) -> Option<EndpointId> {
+        // The whole list, with random numbers for all. Only so many are used up as the subset spans
+        // endpoints.
+        let best_of_all = self.best_of(id, exclude, ring, &mut self.random_state.clone());
+        let position = |id| ring.iter().position(|&on_ring| on_ring == id).expect("on the ring");
+        let span = self.subset().last().map_or(0, |&last| position(last) + 1);
+        let mut random_state = self.random_state;
+        let best_of_subset = self.best_of(id, exclude, &ring[..span], &mut random_state);
+        let nobody_is_available = best_of_subset.is_none_or(|best| best.rank.is_unavailable);
+        if nobody_is_available && span < ring.len() {
+            let rest = &ring[span..];
+            let is_bound = rest.iter().any(|&endpoint| !self.is_in_deduplication_group(id, endpoint));
+            let sample = sample_of_rest(rest, is_bound, &mut random_state);
+            let best_of_rest = self.best_of(id, exclude, &sample, &mut random_state);
+            self.random_state = random_state;
+            let found = best_of_subset
+                .into_iter()
+                .chain(best_of_rest)
+                .min_by(|one, other| one.partial_cmp(other).expect("no NaN"));
+            // A bound repeat finds an endpoint of its group, an available one if possible, wherever it is.
+            let availability = |best: Option<Ranked>| best.map(|best| best.rank.is_unavailable);
+            assert!(
+                !is_bound || availability(found) == availability(best_of_all),
+                "{found:?} for {best_of_all:?}"
+            );
+            return found.map(|found| found.endpoint);
+        }
+        self.random_state = random_state;
+        assert_eq!(best_of_subset, best_of_all, "the best of the subset is the best of all");
+        best_of_all.map(|best| best.endpoint)
+    }
+
+    /// The best of these endpoints. Each that may be sent the request draws a random number in turn.
+    fn best_of(
+        &self,
+        id: &RequestId,
+        exclude: Option<EndpointId>,
+        endpoints: &[EndpointId],
+        random_state: &mut u64,
+    ) -> Option<Ranked> {
+        let comparison = self.comparison(id, exclude);
+        let mut best: Option<Ranked> = None;
+        for &endpoint in endpoints {
+            let Some(rank) = self.rank(id, &comparison, endpoint, random_state) else { continue };
+            if best.is_none_or(|best| rank < best.rank) {
+                best = Some(Ranked { rank, endpoint });
+            }
+        }
+        best
+    }
+
+    fn comparison(&self, id: &RequestId, exclude: Option<EndpointId>) -> Comparison {
+        let request = &self.requests[id];
+        let in_flight: usize = self.endpoints.values().map(|endpoint| endpoint.in_flight.len()).sum();
+        let active_count = self.ring().len();
+        let with_fleet_share = |kind| {
+            let share = self.failures.get(&kind).map_or(0.0, |share| share.value(self.now, 0.0));
+            (kind, share)
+        };
+        Comparison {
+            exclude,
+            subset: self.subset().into_iter().collect(),
+            exploration: 1.0 / (1.0 + 60.0 * in_flight as f64 / active_count as f64),
+            class: with_fleet_share(FailureKind::Class(request.class)),
+            plan: with_fleet_share(FailureKind::Plan(request.plan)),
+            unanswered: with_fleet_share(FailureKind::Unanswered),
+        }
+    }
+
+    /// How an endpoint ranks. None if it may not be sent the request.
+    fn rank(
+        &self,
+        id: &RequestId,
+        comparison: &Comparison,
+        endpoint_id: EndpointId,
+        random_state: &mut u64,
+    ) -> Option<Rank> {
+        if Some(endpoint_id) == comparison.exclude || !self.is_in_deduplication_group(id, endpoint_id) {
+            return None;
+        }
+        let endpoint = &self.endpoints[&endpoint_id];
+        let warm_fraction = self.warm_fraction(endpoint);
+        let turns = (self.slow_start_clock - endpoint.slow_start_at) as f64 / 1e6;
+        if warm_fraction < 1.0 && endpoint.slow_start_tokens + warm_fraction * turns < 1.0 {
+            return None;
+        }
+        let is_available = endpoint.ejected_until <= self.now && !self.is_unresponsive(endpoint);
+        let is_recovering = is_available && endpoint.consecutive_failures > 0;
+        if is_recovering && !self.may_test_recovery(id, endpoint) {
+            return None;
+        }
+        let is_in_subset = comparison.subset.contains(&endpoint_id);
+        let is_warming_and_due = is_in_subset && warm_fraction < 1.0 && endpoint.consecutive_failures == 0;
+        Some(Rank {
+            is_unavailable: !is_available,
+            is_beyond_subset: !is_in_subset,
+            is_not_warming_and_due: !is_warming_and_due,
+            cost: self.cost(comparison, endpoint, warm_fraction, random_state),
+        })
+    }
+
+    /// Only a single safe request shows whether an endpoint has recovered.
+    fn may_test_recovery(&self, id: &RequestId, endpoint: &Endpoint) -> bool {
+        let class = &self.settings.classes[self.requests[id].class];
+        let is_tested = endpoint.in_flight.last().is_some_and(|&sent_at| sent_at >= endpoint.ejected_until);
+        class.idempotency == Idempotency::Safe && !is_tested
+    }
+
+    fn cost(
+        &self,
+        comparison: &Comparison,
+        endpoint: &Endpoint,
+        warm_fraction: f64,
+        random_state: &mut u64,
+    ) -> f64 {
+        let exploration = comparison.exploration;
+        let since_ejection = endpoint.in_flight.iter().filter(|&&sent_at| sent_at >= endpoint.ejected_until);
+        let load = since_ejection.count() as f64;
+        let drawn = -(1.0 - random_number(random_state)).ln();
+        let slowness = (endpoint.latency / self.latency).clamp(0.25, 4.0);
+        let wait = slowness * (load + 1.0 - exploration + exploration * drawn);
+        let capacity = endpoint.entry.weight * warm_fraction.max(0.05);
+        let is_near = endpoint.entry.zone == self.settings.zone;
+        let distance = if is_near { 1.0 } else { 1.0 + 2.0 * self.settings.cross_zone_cost };
+        let risk = self.failure_risk(comparison, endpoint);
+        wait / capacity * distance * (1.0 + 10.0 * risk).powi(2)
+    }
+
+    fn failure_risk(&self, comparison: &Comparison, endpoint: &Endpoint) -> f64 {
+        let kinds = [comparison.class, comparison.plan, comparison.unanswered];
+        if kinds.iter().all(|(_, fleet_share)| *fleet_share <= 0.01) {
+            return 0.0;
+        }
+        let share = |(kind, fleet_share)| {
+            let own = endpoint.failures.get(&kind);
+            own.map_or(fleet_share, |own| own.value(self.now, fleet_share))
+        };
+        let unanswered = share(comparison.unanswered) * (2.0 * comparison.exploration).min(1.0);
+        share(comparison.class).max(share(comparison.plan)).max(unanswered)
+    }
+
+    /// The active endpoints, from where this node's part of the ring begins.
+    fn ring(&self) -> Vec<EndpointId> {
+        let mut ring: Vec<EndpointId> = self
+            .endpoints
+            .iter()
+            .filter(|(_, endpoint)| endpoint.entry.state == EndpointState::Active)
+            .map(|(&id, _)| id)
+            .collect();
+        let first = self.settings.node_index as usize * ring.len() / self.settings.node_count as usize;
+        ring.rotate_left(first);
+        ring
+    }
+
+    /// The endpoints that the node sends to, in the order of the ring.
+    pub fn subset(&self) -> Vec<EndpointId> {
+        let mut subset = self.ring();
+        let size = (subset.len() * 24).div_ceil(self.settings.node_count as usize).max(12);
+        subset.retain(|id| self.endpoints[id].ejected_until <= self.now);
+        subset.truncate(size);
+        subset
+    }
+
+    /// The share of its full capacity that an endpoint surely has.
+    pub(super) fn warm_fraction(&self, endpoint: &Endpoint) -> f64 {
+        let rules = &self.settings.warm_up;
+        if endpoint.started_at == 0 {
+            return 1.0;
+        }
+        let progress = (self.now - endpoint.started_at) as f64 / rules.duration as f64;
+        let max_eagerness = (rules.overload_multiple / 2.0).clamp(1.0, 1.5);
+        let eagerness = if endpoint.latency < self.latency { max_eagerness } else { 1.0 };
+        (eagerness * (rules.initial_fraction + (1.0 - rules.initial_fraction) * progress)).min(1.0)
+    }
+
+    /// Whether an endpoint answers nobody.
+    pub(super) fn is_unresponsive(&self, endpoint: &Endpoint) -> bool {
+        let mut since_ejection =
+            endpoint.in_flight.iter().filter(|&&sent_at| sent_at >= endpoint.ejected_until);
+        let Some(&oldest) = since_ejection.next() else { return false };
+        let factor = if endpoint.in_flight.len() > 2 { 1.0 } else { 2.0 };
+        (self.now - oldest.max(endpoint.last_response_at)) as f64 > self.latency_bound() * factor
+    }
+
+    /// Whether an endpoint drops repeats of a request that may have run; any may be sent one that has not.
+    fn is_in_deduplication_group(&self, id: &RequestId, endpoint: EndpointId) -> bool {
+        let request = &self.requests[id];
+        let class = &self.settings.classes[request.class];
+        let entry = &self.endpoints[&endpoint].entry;
+        match (class.idempotency, class.deduplication_scope, request.first_possible_run) {
+            (Idempotency::Keyed, DeduplicationScope::Zone, Some(run)) => entry.zone == run.placement.zone,
+            (Idempotency::Keyed, DeduplicationScope::Cell, Some(run)) => entry.cell == run.placement.cell,
+            _ => true,
+        }
+    }
+}
+
+/// The endpoints beyond the subset that are examined: all of them, in the order of their ids, for a repeat
+/// that is bound to a group; else a sample from a random start. Draws a random number in either case.
+fn sample_of_rest(rest: &[EndpointId], is_bound: bool, random_state: &mut u64) -> Vec<EndpointId> {
+    let step = rest.len().div_ceil(MAX_EXAMINED);
+    let start = (random_number(random_state) * step as f64) as usize;
+    if is_bound {
+        let mut by_id = rest.to_vec();
+        by_id.sort();
+        by_id
+    } else {
+        rest.iter().copied().skip(start).step_by(step).collect()
+    }
+}
+
+/// The next random number of [0, 1) of the node's own sequence.
+pub fn random_number(state: &mut u64) -> f64 {
+    let sum = state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+    let once = (sum ^ (sum >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    let twice = (once ^ (once >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    *state = twice ^ (twice >> 31);
+    (*state >> 11) as f64 / (1u64 << 53) as f64
+}
