--- a/src/decision/balancer/cost.rs
+++ b/src/decision/balancer/cost.rs
@@ -9,7 +9,7 @@
 
 /// How soon the node's own load counts outweigh exploration, in attempts in flight at each endpoint.
 const EXPLORATION_DECAY: f64 = 60.0;
-/// How much a sure failure adds to the square root of the cost factor.
+/// How much a certain failure adds to the square root of the failure factor.
 const FAILURE_COST: f64 = 10.0;
 /// Failures are taken into account once they are more than this share over the fleet.
 const NEGLIGIBLE_FAILURE_SHARE: f64 = 0.01;
@@ -19,26 +19,33 @@
 /// Least warm fraction that the cost is divided by.
 const MIN_WARM_FRACTION: f64 = 0.05;
 
-/// The kinds of failure of one request, each with its share over the fleet.
+/// A kind of failure and its share over the fleet, 0 to 1.
+#[derive(Clone, Copy)]
+struct FleetShare {
+    kind: FailureKind,
+    share: f64,
+}
+
+/// The kinds of failure that one request may meet.
 struct FleetFailures {
-    class: (FailureKind, f64),
-    plan: (FailureKind, f64),
-    unanswered: (FailureKind, f64),
+    class: FleetShare,
+    plan: FleetShare,
+    unanswered: FleetShare,
 }
 
 impl FleetFailures {
     fn of(request: &SelectionRequest, fleet: &FailureShares, now: Micros) -> Self {
-        let with_share = |kind| (kind, fleet.share(kind, 0.0, now));
+        let fleet_share = |kind| FleetShare { kind, share: fleet.share(kind, 0.0, now) };
         FleetFailures {
-            class: with_share(FailureKind::Class(request.class)),
-            plan: with_share(FailureKind::Plan(request.plan)),
-            unanswered: with_share(FailureKind::Unanswered),
+            class: fleet_share(FailureKind::Class(request.class)),
+            plan: fleet_share(FailureKind::Plan(request.plan)),
+            unanswered: fleet_share(FailureKind::Unanswered),
         }
     }
 
     fn are_negligible(&self) -> bool {
-        let all = [&self.class, &self.plan, &self.unanswered];
-        all.iter().all(|(_, share)| *share <= NEGLIGIBLE_FAILURE_SHARE)
+        let all = [self.class, self.plan, self.unanswered];
+        all.iter().all(|fleet| fleet.share <= NEGLIGIBLE_FAILURE_SHARE)
     }
 }
 
@@ -78,7 +85,8 @@
     pub fn cost(&self, endpoint: &Endpoint, warm_fraction: f64, random: &mut RandomSource) -> f64 {
         let wait = self.slowness(endpoint) * self.queue(endpoint, random);
         let capacity = endpoint.entry.weight * warm_fraction.max(MIN_WARM_FRACTION);
-        wait / capacity * self.distance(endpoint) * (1.0 + FAILURE_COST * self.failure_risk(endpoint)).powi(2)
+        let failure_factor = (1.0 + FAILURE_COST * self.failure_risk(endpoint)).powi(2);
+        wait / capacity * self.distance_factor(endpoint) * failure_factor
     }
 
     /// The endpoint's response time relative to that of the fleet.
@@ -86,15 +94,15 @@
         (endpoint.latency / self.fleet_latency).clamp(MIN_SLOWNESS, MAX_SLOWNESS)
     }
 
-    /// Attempts at the endpoint with this one, as far as the node's own count tells. Where it tells little, a
-    /// random number decides; its distribution is exponential, so that endpoints are drawn by their capacity.
+    /// Attempts at the endpoint, this one among them. Where the node's own count says little, a random number
+    /// decides; its distribution is exponential, so that endpoints are drawn in proportion to their capacity.
     fn queue(&self, endpoint: &Endpoint, random: &mut RandomSource) -> f64 {
         let load = endpoint.in_flight_since_ejection().count() as f64;
         load + 1.0 - self.exploration + self.exploration * random.exponential()
     }
 
     /// Factor for crossing zones.
-    fn distance(&self, endpoint: &Endpoint) -> f64 {
+    fn distance_factor(&self, endpoint: &Endpoint) -> f64 {
         if endpoint.entry.zone == self.settings.zone {
             1.0
         } else {
@@ -106,7 +114,7 @@
     /// in flight at an endpoint, missing responses show by themselves and weigh less.
     fn failure_risk(&self, endpoint: &Endpoint) -> f64 {
         let Some(fleet) = &self.fleet_failures else { return 0.0 };
-        let share = |(kind, fleet_share)| endpoint.failures.share(kind, fleet_share, self.now);
+        let share = |fleet: FleetShare| endpoint.failures.share(fleet.kind, fleet.share, self.now);
         let unanswered_weight = (2.0 * self.exploration).min(1.0);
         share(fleet.class).max(share(fleet.plan)).max(share(fleet.unanswered) * unanswered_weight)
     }
--- a/src/decision/balancer/endpoint_table.rs
+++ b/src/decision/balancer/endpoint_table.rs
@@ -36,7 +36,7 @@
 
 /// An endpoint in a deduplication group. In an ordered set, the endpoints of a group are next to each other.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct GroupMember {
+struct GroupEntry {
     group: DeduplicationGroup,
     id: EndpointId,
 }
@@ -55,7 +55,7 @@
     // At the join: private, `inactive`.
     pub(in crate::decision) off: BTreeMap<EndpointId, usize>,
     /// The endpoints of each deduplication group in use.
-    group_members: BTreeSet<GroupMember>,
+    group_entries: BTreeSet<GroupEntry>,
     groups_in_use: GroupsInUse,
     /// The endpoints with attempts in flight or a rate of responses.
     with_traffic: BTreeMap<EndpointId, usize>,
@@ -117,9 +117,9 @@
 
     /// The ring positions of a group's active endpoints.
     pub(super) fn positions_of(&self, group: DeduplicationGroup) -> impl Iterator<Item = usize> + '_ {
-        let first = GroupMember { group, id: EndpointId(0) };
-        let last = GroupMember { group, id: EndpointId(u64::MAX) };
-        self.group_members.range(first..=last).filter_map(|member| self.position(member.id))
+        let first = GroupEntry { group, id: EndpointId(0) };
+        let last = GroupEntry { group, id: EndpointId(u64::MAX) };
+        self.group_entries.range(first..=last).filter_map(|entry| self.position(entry.id))
     }
 
     /// An endpoint that is known.
@@ -292,13 +292,13 @@
 
     fn insert_into_groups(&mut self, entry: &EndpointEntry) {
         for group in self.groups_in_use.of(entry) {
-            self.group_members.insert(GroupMember { group, id: entry.id });
+            self.group_entries.insert(GroupEntry { group, id: entry.id });
         }
     }
 
     fn remove_from_groups(&mut self, entry: &EndpointEntry) {
         for group in self.groups_in_use.of(entry) {
-            self.group_members.remove(&GroupMember { group, id: entry.id });
+            self.group_entries.remove(&GroupEntry { group, id: entry.id });
         }
     }
 
--- a/src/decision/balancer/failure_shares.rs
+++ b/src/decision/balancer/failure_shares.rs
@@ -33,27 +33,33 @@
         self.shares.get(&kind).map_or(prior, |share| share.with_prior(now, prior, FAILURE_TIME_CONSTANT))
     }
 
-    /// Records whether an attempt failed in this way.
-    pub fn record(&mut self, kind: FailureKind, failed: bool, now: Micros) {
-        let sample = if failed { 1.0 } else { 0.0 };
-        self.shares.entry(kind).or_default().record(now, sample, FAILURE_TIME_CONSTANT);
+    /// Records whether an attempt failed in one way.
+    pub fn record(&mut self, sample: &FailureSample, now: Micros) {
+        let failures = if sample.failed { 1.0 } else { 0.0 };
+        self.shares.entry(sample.kind).or_default().record(now, failures, FAILURE_TIME_CONSTANT);
     }
 }
 
-/// The kinds that an ended attempt says something about, and whether it failed in that way: all kinds after a
-/// success, else those in which it failed.
-pub(super) fn failures_to_record(
+/// What an ended attempt says about one kind of failure.
+pub(super) struct FailureSample {
+    pub kind: FailureKind,
+    /// Whether it failed in this way.
+    pub failed: bool,
+}
+
+/// What an ended attempt says about failures: after a success about all kinds, else about those that it met.
+pub(super) fn failure_samples(
     class: usize,
     plan: usize,
     outcome: Outcome,
     unanswered: bool,
-) -> impl Iterator<Item = (FailureKind, bool)> {
+) -> impl Iterator<Item = FailureSample> {
     let succeeded = outcome == Outcome::Ok;
     let refused = matches!(outcome, Outcome::Error | Outcome::Rejected);
-    let kinds = [
-        (FailureKind::Class(class), refused),
-        (FailureKind::Plan(plan), refused),
-        (FailureKind::Unanswered, unanswered),
+    let samples = [
+        FailureSample { kind: FailureKind::Class(class), failed: refused },
+        FailureSample { kind: FailureKind::Plan(plan), failed: refused },
+        FailureSample { kind: FailureKind::Unanswered, failed: unanswered },
     ];
-    kinds.into_iter().filter(move |&(_, failed)| failed || succeeded)
+    samples.into_iter().filter(move |sample| sample.failed || succeeded)
 }
--- a/src/decision/balancer/mod.rs
+++ b/src/decision/balancer/mod.rs
@@ -20,7 +20,7 @@
 use cost::CostModel;
 use deduplication_group::DeduplicationGroup;
 use endpoint_table::{EndpointTable, ListedEndpoint};
-use failure_shares::{failures_to_record, FailureShares};
+use failure_shares::{failure_samples, FailureShares};
 use latency_estimator::LatencyEstimator;
 use outlier_detection::{no_response_since, OutlierDetector};
 use selection::{Candidate, Selector};
@@ -32,7 +32,7 @@
 /// An endpoint is about as fast as the others if its response time is below this multiple of theirs.
 const TYPICAL_LATENCY_MULTIPLE: f64 = 2.0;
 
-/// Where an endpoint stands: what is kept of it once it may have been removed.
+/// The zone and cell of an endpoint: what a request keeps of it, since it may be removed meanwhile.
 #[derive(Clone, Copy)]
 pub(super) struct Placement {
     pub zone: u32,
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct Selection {
     pub endpoint: EndpointId,
-    /// The share of its full capacity that it surely has, 0 to 1.
+    /// The share of its full capacity that it has at least, 0 to 1.
     pub warm_fraction: f64,
 }
 
@@ -222,9 +222,9 @@
         let latency_bound = self.latency_bound();
         let endpoint = self.servers.attempt_ended(result.endpoint, result.sent_at)?;
         let unanswered = is_unanswered(endpoint, result, latency_bound);
-        for (kind, failed) in failures_to_record(result.class, result.plan, result.outcome, unanswered) {
-            endpoint.failures.record(kind, failed, now);
-            self.fleet_failures.record(kind, failed, now);
+        for sample in failure_samples(result.class, result.plan, result.outcome, unanswered) {
+            endpoint.failures.record(&sample, now);
+            self.fleet_failures.record(&sample, now);
         }
         let must_eject = self.outlier_detector.must_eject(endpoint, result, now);
         let mut typical_response_time = None;
@@ -237,7 +237,7 @@
                 }
                 endpoint.record_success(result.sent_at, result.elapsed, now);
             }
-            // An endpoint that fails fast looks idle and quick. The response shows that it is alive, and no
+            // An endpoint that fails fast seems idle and quick. Its response shows that it is alive, and no
             // more.
             Outcome::Error => endpoint.last_response_at = now,
             // A request whose connection was reset has left the endpoint, and overload is judged by the rate
@@ -251,7 +251,7 @@
         Some(RecordedAttempt { typical_response_time })
     }
 
-    /// Whether an attempt in flight has waited too long at an endpoint that is ejected or answers nobody.
+    /// Whether an attempt in flight has waited too long at an endpoint that is ejected or unresponsive.
     pub fn is_stuck(&self, endpoint: EndpointId, sent_at: Micros, now: Micros) -> bool {
         let latency_bound = self.latency_bound();
         let is_unavailable = self
@@ -268,7 +268,7 @@
         }
     }
 
-    /// Ejects all endpoints that answer nobody.
+    /// Ejects all endpoints that are unresponsive.
     pub fn eject_unresponsive(&mut self, now: Micros) {
         let latency_bound = self.latency_bound();
         let traffic = self.servers.with_traffic();
--- a/src/decision/balancer/outlier_detection.rs
+++ b/src/decision/balancer/outlier_detection.rs
@@ -14,8 +14,7 @@
 const MAX_RESET_PROBABILITY: f64 = 0.01;
 /// ... and so many always do.
 const MAX_CONNECTION_RESETS: u32 = 3;
-/// With more attempts in flight than this, silence is judged by the latency bound itself; with fewer by twice
-/// it.
+/// With up to so many attempts in flight, an endpoint may be silent for twice the latency bound.
 const FEW_IN_FLIGHT: usize = 2;
 
 /// Whether an endpoint may be sent attempts.
@@ -25,7 +24,7 @@
     Healthy,
     /// Its ejection is over, and it has not succeeded since: a single attempt shows whether it has recovered.
     Recovering,
-    /// It is ejected, or answers nobody.
+    /// It is ejected or unresponsive.
     Unavailable,
 }
 
@@ -98,8 +97,8 @@
         self.consecutive_failures += 1;
     }
 
-    /// Whether it answers nobody: since its last response, the oldest attempt in flight has waited for longer
-    /// than `latency_bound` microseconds, or twice that where few are in flight.
+    /// Whether it is silent though requests wait: since its last response, the oldest attempt in flight has
+    /// waited for longer than `latency_bound` microseconds, or twice that where few are in flight.
     pub fn is_unresponsive(&self, latency_bound: f64, now: Micros) -> bool {
         let Some(oldest_sent_at) = self.in_flight_since_ejection().next() else { return false };
         let silence = now.saturating_sub(oldest_sent_at.max(self.last_response_at)) as f64;
--- a/src/decision/balancer/selection.rs
+++ b/src/decision/balancer/selection.rs
@@ -10,7 +10,7 @@
 use crate::decision::estimators::RandomSource;
 use crate::decision::{EndpointId, Micros, Settings};
 
-/// Whether an endpoint is thought to respond. The lesser is preferred.
+/// Whether an endpoint is expected to respond. The lesser is preferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Availability {
     Available,
@@ -24,11 +24,11 @@
     Elsewhere,
 }
 
-/// Whether it is an endpoint's turn. The lesser is preferred.
+/// Whether slow start gives an endpoint precedence. The lesser is preferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Turn {
     /// It is warming up and due a request: by cost it would always lose to the best of the warm ones, which
-    /// would then drown.
+    /// would be overloaded.
     WarmingUpAndDue,
     Ordinary,
 }
@@ -51,7 +51,7 @@
 }
 
 impl Candidate {
-    /// Whether it is thought to respond.
+    /// Whether it is expected to respond.
     pub fn is_available(&self) -> bool {
         self.preference.availability == Availability::Available
     }
@@ -121,7 +121,7 @@
     }
 
     /// The endpoint at a ring position as a candidate, if it may be sent the attempt.
-    // It runs for each endpoint examined, and a call would weigh as much as one of its rules.
+    // Inlined, since it runs for each endpoint that is examined.
     #[inline(always)]
     fn candidate(&self, position: usize, random: &mut RandomSource) -> Option<Candidate> {
         let endpoint = self.endpoints.at(position);
--- a/src/decision/balancer/slow_start.rs
+++ b/src/decision/balancer/slow_start.rs
@@ -8,8 +8,8 @@
 use crate::decision::estimators::{RandomSource, TokenBucket, MICROS_PER_SECOND};
 use crate::decision::{Micros, WarmUp};
 
-/// An endpoint that is no slower than the fleet gets up to this much of its sure share; at most half the
-/// overload multiple.
+/// An endpoint that is no slower than the fleet gets up to this much of its guaranteed share; at most half
+/// the overload multiple.
 const MAX_EAGERNESS: f64 = 1.5;
 /// Most requests that a warming endpoint saves up.
 const MAX_SAVED_REQUESTS: f64 = 1.5;
@@ -34,7 +34,7 @@
         self.virtual_time += (MICROS_PER_SECOND / self.subset_capacity.max(1.0)) as Micros;
     }
 
-    /// The bucket of an endpoint that starts now. It holds a random part of a request: a whole one at each of
+    /// The bucket of an endpoint that starts now. It holds a random part of a request: a full one at each of
     /// a hundred nodes would push a cold endpoint over at once.
     pub fn new_bucket(&self, random: &mut RandomSource) -> TokenBucket {
         TokenBucket::new(random.uniform(), self.virtual_time)
@@ -52,7 +52,7 @@
     }
 }
 
-/// The share of its full capacity that an endpoint surely has by now, 0 to 1: it rises with the time since
+/// The share of its full capacity that an endpoint has by now at least, 0 to 1: it rises with the time since
 /// its start, faster if the endpoint responds faster than the fleet, whose mean is `fleet_latency`
 /// microseconds.
 pub(super) fn warm_fraction(rules: &WarmUp, endpoint: &Endpoint, fleet_latency: f64, now: Micros) -> f64 {
--- a/src/decision/balancer/subset.rs
+++ b/src/decision/balancer/subset.rs
@@ -17,7 +17,7 @@
 const MIN_NODES_PER_ENDPOINT: usize = 24;
 /// Endpoints that a node uses at least: enough that some are left when a third is lost.
 const MIN_SUBSET_SIZE: usize = 12;
-/// A list of up to so many endpoints is examined whole for an attempt, which takes some microseconds. Of a
+/// A list of up to so many endpoints is examined in full for an attempt, which takes some microseconds. Of a
 /// longer one it is the subset and, if nobody there is available, so many of the rest: the best of so many is
 /// in the best fiftieth but once in a hundred times.
 pub(super) const MAX_EXAMINED: usize = 256;
@@ -48,16 +48,16 @@
         let size = (ring_size * MIN_NODES_PER_ENDPOINT).div_ceil(node_count).max(MIN_SUBSET_SIZE);
         let first_position = settings.node_index as usize * ring_size / node_count % ring_size.max(1);
         let mut subset = Subset { ring_size, first_position, span: 0, capacity: 0.0 };
-        let mut members = 0;
+        let mut selected = 0;
         for offset in 0..ring_size {
-            if members == size {
+            if selected == size {
                 break;
             }
             let endpoint = endpoints.at(first_position + offset);
             if endpoint.is_ejected(now) {
                 continue;
             }
-            members += 1;
+            selected += 1;
             subset.span = offset + 1;
             subset.capacity += warm_fraction(endpoint);
         }
