--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -9,8 +9,8 @@
 use super::quota::{QueuedRequest, QuotaDecision, QuotaRequest, QuotaTurn};
 use super::{AccountId, Action, DecisionEngine, Micros, NewRequest, Plan, RequestId, Settings, TICK};
 
-/// A late response that earns at least this share of the weight is worth serving.
-const WORTHWHILE_LATE_WEIGHT: f64 = 0.5;
+/// A class whose late responses earn at least this share of its weight is served late, too.
+const LEAST_LATE_WEIGHT: f64 = 0.5;
 /// Times that differ by less than one part in this many count as the same timeout of a client.
 const TIMEOUT_PRECISION: Micros = 50;
 
@@ -36,10 +36,14 @@
 }
 
 impl DecisionEngine {
-    /// Decides about a new request, in this order: it is shed for load; it is rejected if it comes too late
-    /// to be worth serving; the quotas admit it, have it wait for the counter, or find it beyond quota.
+    /// Decides about a new request. The first rule that applies decides:
     ///
-    /// A request of an unknown class, or with the id of a pending one, is ignored.
+    /// 1. Its class is unknown or its id that of a pending request: it is ignored.
+    /// 2. The fleet is too full for it: it is shed, with a time to come back unless it is a retry.
+    /// 3. It comes too late to earn its weight or to get a response at all: it is rejected.
+    /// 4. The quotas grant it: it is sent to an endpoint.
+    /// 5. The quotas need a reply of the counter: it waits.
+    /// 6. It is beyond quota: it is served all the same where that earns more than it costs, else deferred.
     pub(super) fn on_request(&mut self, mut request: NewRequest, actions: &mut Vec<Action>) {
         if request.class >= self.settings.classes.len() || self.pending.contains(&request.id) {
             return;
@@ -95,7 +99,7 @@
         let elapsed = class.total_timeout.saturating_sub(remaining) as f64;
         request.is_retry
             && !self.client_timeouts.is_full_timeout(request.class, remaining)
-            && class.late_weight < WORTHWHILE_LATE_WEIGHT
+            && class.late_weight < LEAST_LATE_WEIGHT
             && elapsed + self.balancer.latency / 2.0 > class.latency_objective as f64
     }
 
@@ -143,7 +147,7 @@
         let class = &self.settings.classes[pending.request.class];
         let expected_latency = self.load_shedder.expected(&self.settings, &self.balancer, self.now);
         let has_room = expected_latency < class.latency_objective as f64 * SHED_CHEAPEST;
-        if has_room && is_worth_serving_beyond_quota(plan) {
+        if has_room && is_profitable_beyond_quota(plan) {
             self.dispatch_admitted(id, actions);
         } else {
             self.defer(id, actions);
@@ -198,7 +202,7 @@
 }
 
 /// Whether the plan's requests beyond quota earn more than they cost. Never under a hard ceiling.
-fn is_worth_serving_beyond_quota(plan: &Plan) -> bool {
+fn is_profitable_beyond_quota(plan: &Plan) -> bool {
     plan.over_quota_weight > plan.over_quota_cost && plan.ceiling_units_per_second <= 0.0
 }
 
--- a/src/decision/attempts/pending_request.rs
+++ b/src/decision/attempts/pending_request.rs
@@ -9,7 +9,8 @@
 #[derive(Clone, Copy)]
 pub(in crate::decision) struct Attempt {
     pub endpoint: EndpointId,
-    /// Where the endpoint stands: a repeat may have to stay there when the endpoint is not known any more.
+    /// Zone and cell of the endpoint: a repeat may have to stay there when the endpoint is not known any
+    /// more.
     pub placement: Placement,
     pub sent_at: Micros,
 }
@@ -105,7 +106,7 @@
         self.without_endpoint.push_back(id);
     }
 
-    /// Takes out all requests that wait for an endpoint, in the order in which they came.
+    /// Takes out all requests that wait for an endpoint, in the order of their arrival.
     pub fn take_waiting_for_endpoint(&mut self) -> VecDeque<RequestId> {
         std::mem::take(&mut self.without_endpoint)
     }
--- a/src/decision/attempts/retry_policy.rs
+++ b/src/decision/attempts/retry_policy.rs
@@ -4,8 +4,8 @@
 //! within the deduplication window of the first that may have; - non-idempotent (`POST` without a key):
 //! only if no attempt of it may have run.
 //!
-//! An attempt surely never ran if it was rejected, could not connect or was not sent. In any case there has
-//! to be an attempt left, time for a response, and a retry in the budget.
+//! An attempt certainly never ran if it was rejected, could not connect or was not sent. In any case there
+//! has to be an attempt left, time for a response, and a retry in the budget.
 
 use super::pending_request::PendingRequest;
 use crate::decision::{Idempotency, Micros, RequestClass, Settings};
@@ -15,8 +15,8 @@
 /// The most retries that the budget saves up.
 const MAX_SAVED_RETRIES: f64 = 20.0;
 
-/// Bounds retries to a share of the first attempts, so that they don't multiply the load on a fleet in
-/// trouble.
+/// Bounds retries to a share of the first attempts, so that they don't multiply the load on an
+/// overloaded fleet.
 pub(in crate::decision) struct RetryBudget {
     saved_retries: f64,
 }
--- a/src/decision/deferral.rs
+++ b/src/decision/deferral.rs
@@ -12,7 +12,7 @@
 /// The deferrals of this node's accounts that are outstanding: promised and not yet due.
 #[derive(Default)]
 pub(super) struct DeferralSchedule {
-    /// When the clients were told to come back, the earliest first.
+    /// When the clients are to come back, the earliest first.
     outstanding: BTreeMap<AccountId, VecDeque<Micros>>,
 }
 
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -191,7 +191,8 @@
         }
     }
 
-    /// From here on units that serve nobody are released as they come: nobody would use them up.
+    /// Releases all leases. From here on units that serve nobody are released as they are granted, since no
+    /// request will use them up.
     fn on_shutdown_started(&mut self, actions: &mut Vec<Action>) {
         self.shutdown_started = true;
         self.release_all_leases(actions);
@@ -201,6 +202,9 @@
         self.quota.release_idle_leases(&self.settings, self.now, 0, actions);
     }
 
+    /// Housekeeping, in this order: the load is sampled, requests without an endpoint are tried again,
+    /// stuck attempts are cancelled, silent endpoints are ejected. The sweep of leases and memory follows
+    /// less often.
     fn on_tick(&mut self, actions: &mut Vec<Action>) {
         actions.push(Action::SetTimer { id: 0, after: TICK });
         self.load_shedder.on_tick(&self.balancer, self.now);
@@ -208,13 +212,17 @@
         self.cancel_stuck_attempts(actions);
         self.balancer.eject_silent(self.now);
         if self.now >= self.swept_at + SWEEP_INTERVAL {
-            self.swept_at = self.now;
-            self.quota.release_unused_leases(&self.settings, self.now, actions);
-            self.forget_unneeded();
-            self.quota.drop_expired_calls(self.now);
+            self.sweep(actions);
         }
     }
 
+    fn sweep(&mut self, actions: &mut Vec<Action>) {
+        self.swept_at = self.now;
+        self.quota.release_unused_leases(&self.settings, self.now, actions);
+        self.forget_unneeded();
+        self.quota.drop_expired_calls(self.now);
+    }
+
     /// Tries again to find endpoints for the requests that wait for one, and gives up those that waited too
     /// long: a late rejection costs its client the time to go elsewhere.
     fn dispatch_waiting_requests(&mut self, actions: &mut Vec<Action>) {
--- a/src/decision/quota/account.rs
+++ b/src/decision/quota/account.rs
@@ -46,7 +46,7 @@
     pub last_total: Option<SeenTotal>,
     /// Share of the counter's replies to a lease that found the bucket short.
     pub shortage: Tally,
-    /// How many requests that were not asked about the next call stands for.
+    /// How many requests that no call asked for the next call represents.
     pub sampling_weight: f64,
     /// What other nodes draw.
     pub drawn_elsewhere: Rate,
@@ -57,7 +57,7 @@
     pub mean_units: f64,
     /// The call to the counter that is in flight: one at a time.
     pub call: Option<CounterCall>,
-    /// Requests that wait for the reply, in the order in which they came.
+    /// Requests that wait for the reply, in the order of their arrival.
     pub queue: VecDeque<QueuedRequest>,
     /// Units admitted without the counter that no call has reported yet.
     pub unreported_units: f64,
@@ -101,8 +101,8 @@
         self.queue.iter().map(|request| request.units).sum()
     }
 
-    /// Whether the plan's quota of attempts in flight is used up. Of its slots the other nodes hold what
-    /// their recent draws keep in flight; one slot at least is left to this node.
+    /// Whether the plan's quota of attempts in flight is used up. Of its slots the other nodes occupy what
+    /// their recent draws keep in flight. A node with no more than one attempt in flight is never held back.
     pub fn is_concurrency_exhausted(&self, plan: &Plan, mean_latency: f64, now: Micros) -> bool {
         if plan.max_in_flight == 0 {
             return false;
@@ -114,15 +114,16 @@
         } else {
             slots * (1.0 - 1.0 / self.node_count)
         };
-        let in_flight = self.attempts_in_flight as f64 + in_flight_elsewhere + 0.5;
-        in_flight > slots.max(in_flight_elsewhere + 1.5)
+        // The half rounds to whole slots.
+        let occupied_slots = self.attempts_in_flight as f64 + in_flight_elsewhere + 0.5;
+        occupied_slots > slots.max(in_flight_elsewhere + 1.5)
     }
 
     /// Whether nothing is lost with the account: no work is in flight, its bucket must be full again and its
     /// lease has been released, so that the counter's next reply says all of it anew.
     pub fn can_be_forgotten(&self, plan: Option<&Plan>, now: Micros) -> bool {
         let is_idle = self.attempts_in_flight == 0 && self.call.is_none() && self.queue.is_empty();
-        let lifetime = if self.has_lease_worth_releasing() {
+        let lifetime = if self.has_releasable_lease() {
             LEASED_ACCOUNT_LIFETIME
         } else {
             refill_time(plan).max(ACCOUNT_LIFETIME)
@@ -131,7 +132,7 @@
     }
 
     /// Whether the lease holds more than half of a mean request.
-    pub fn has_lease_worth_releasing(&self) -> bool {
+    pub fn has_releasable_lease(&self) -> bool {
         self.lease > self.mean_units / 2.0
     }
 }
@@ -142,7 +143,7 @@
 }
 
 /// What the bucket of an unknown account is taken to hold. Under a hard ceiling that is only half of this
-/// node's part: any number of nodes may restart while the counter is empty, and each would grant the whole
+/// node's part: any number of nodes may restart while the counter is empty, and each would grant a full
 /// burst.
 fn initial_level(plan: &Plan, node_count: f64) -> f64 {
     if plan.ceiling_units_per_second > 0.0 {
--- a/src/decision/quota/counter_calls.rs
+++ b/src/decision/quota/counter_calls.rs
@@ -16,7 +16,7 @@
     /// Units added on top, which are not leased: what was admitted without the counter, sampled requests
     /// and the overflow correction.
     pub reported_units: f64,
-    /// Part of `reported_units` for the requests that the call stands for as a sample.
+    /// Part of `reported_units` for the requests that the call represents as a sample.
     pub sampled_units: f64,
     /// Part of `reported_units` that corrects overflow. It is reported once at most: the next total shows
     /// what is left to correct.
@@ -29,7 +29,7 @@
 }
 
 impl CounterCall {
-    /// Whether the counter should be read once more: the total tells what the lost reply would have told.
+    /// Whether the counter should be read once more: the total shows what the lost reply would have shown.
     pub fn needs_reread(&self, reply: CounterReply) -> bool {
         reply.is_inconclusive() && self.rereads < MAX_REREADS
     }
@@ -106,7 +106,7 @@
         matches!(self, CounterReply::Total(_) | CounterReply::InvalidTotal)
     }
 
-    /// Whether it takes another look at the counter to know the total.
+    /// Whether the counter has to be read again to know the total.
     pub fn is_inconclusive(self) -> bool {
         matches!(self, CounterReply::Unreadable | CounterReply::ConnectionReset)
     }
--- a/src/decision/quota/counter_health.rs
+++ b/src/decision/quota/counter_health.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A hundred nodes that ask for every request would crowd the service, and then none gets an answer.
+    /// A hundred nodes that ask for every request would overload the service, and then none gets a reply.
     fn adapt_ask_share(&mut self, was_prompt: bool, node_count: u32) {
         let share = if was_prompt {
             self.ask_share + ASK_SHARE_INCREASE
@@ -81,7 +81,7 @@
         self.ask_share = share.max(LEAST_ASK_SHARE_OF_FLEET / node_count as f64).clamp(ASK_SHARE_FLOOR, 1.0);
     }
 
-    /// Lets a silent or crowded service recover. The random half of the pause keeps the nodes from coming
+    /// Lets a silent or overloaded service recover. The random half of the pause keeps the nodes from coming
     /// back in step.
     fn pause(&mut self, now: Micros, random: &mut u64) {
         let jitter = (uniform(random) * self.backoff as f64 / 2.0) as Micros;
--- a/src/decision/quota/lease.rs
+++ b/src/decision/quota/lease.rs
@@ -47,11 +47,11 @@
     unneeded
 }
 
-/// Whether the account had no request for longer than `idle_for` and holds a lease worth releasing.
+/// Whether the account had no request for longer than `idle_for` and holds a lease that can be released.
 pub(super) fn is_idle(account: &Account, idle_for: Micros, now: Micros) -> bool {
     now.saturating_sub(account.last_request_at) > idle_for
         && account.call.is_none()
-        && account.has_lease_worth_releasing()
+        && account.has_releasable_lease()
 }
 
 /// The units that clients will request here within [`LEASE_AHEAD`].
--- a/src/decision/quota/mod.rs
+++ b/src/decision/quota/mod.rs
@@ -98,10 +98,16 @@
             .is_some_and(|account| account.is_concurrency_exhausted(request.plan, mean_latency, now))
     }
 
-    /// Draws a request's units. In this order: from the lease; by what the call in flight or the last total
-    /// leaves; by asking the counter; from the even share; by a speculative admission.
+    /// Draws a request's units. The first rule that applies decides:
     ///
-    /// `fleet_load` is called only once the first two have not decided.
+    /// 1. The lease covers it: it is granted.
+    /// 2. A call is in flight, or the last total left too little: it waits or is beyond quota.
+    /// 3. The counter is asked about it: it waits. That depends on the counter's health and on chance.
+    /// 4. The even share covers it: it is granted.
+    /// 5. A speculative admission is profitable and affordable: it is granted.
+    /// 6. It is beyond quota.
+    ///
+    /// `fleet_load` is called only once the first two rules have not decided: it examines endpoints.
     pub fn draw(
         &mut self,
         settings: &Settings,
@@ -190,7 +196,8 @@
         Some(LocalUse { drawn_rate: account.drawn.get(now, RATE_SPAN), node_count: account.node_count })
     }
 
-    /// Releases the leases of accounts without requests for longer than `idle_for`.
+    /// Releases the leases of accounts without requests for longer than `idle_for`, as far as the counter
+    /// can be called.
     pub fn release_idle_leases(
         &mut self,
         settings: &Settings,
@@ -209,7 +216,7 @@
         }
     }
 
-    /// Releases the leases that lie idle in the ordinary run.
+    /// Releases the leases that lie idle, unless the counter service is too busy for it.
     pub fn release_unused_leases(&mut self, settings: &Settings, now: Micros, actions: &mut Vec<Action>) {
         if self.counter_health.is_responsive() {
             self.release_idle_leases(settings, now, lease::LEASE_IDLE, actions);
@@ -222,12 +229,13 @@
         self.accounts.retain(|_, account| !account.can_be_forgotten(settings.plans.get(account.plan), now));
     }
 
-    /// Drops calls whose late replies can't tell anything any more.
+    /// Drops timed-out calls whose late replies are of no use any more.
     pub fn drop_expired_calls(&mut self, now: Micros) {
         self.calls.drop_expired(now);
     }
 
-    /// Draws from the lease, if it holds the units and nobody waits for them. Refills it ahead of use.
+    /// Draws from the lease, if it holds the units and no request waits for them. Refills it ahead of use.
+    /// Returns whether it has drawn.
     fn draw_from_lease(
         &mut self,
         settings: &Settings,
--- a/src/decision/quota/reconciliation.rs
+++ b/src/decision/quota/reconciliation.rs
@@ -1,4 +1,4 @@
-//! Reconciliation: what a total of the counter tells about a call, the bucket and the other nodes' draws.
+//! Reconciliation: what a total of the counter shows about a call, the bucket and the other nodes' draws.
 //!
 //! A window's total is all that was drawn in it, at all nodes. The bucket's level follows from it, but for
 //! two things that a total cannot show: units that flowed over while the bucket was full, which are added
@@ -16,7 +16,7 @@
 /// Totals that differ by this share or less count as equal: the service rounds.
 const TOTAL_PRECISION: f64 = 2e-6;
 
-/// What the counter has to be told after a total.
+/// What the counter has to be corrected by after a total.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Correction {
     /// Units that the call added and that are to be released, since they don't fit into the bucket.
@@ -85,7 +85,7 @@
     let level_by_total = plan.burst_units
         + plan.quota_units_per_second * seconds_between(change.window.started_at(), now)
         - change.total;
-    // A total that fell tells nothing of the past: the level is carried on, less what the other nodes draw.
+    // A total that fell shows nothing of the past: the level is carried on, less what the other nodes draw.
     // Under a hard ceiling it always is, since no total may grant a burst twice.
     let carries_on = change.has_fallen || plan.ceiling_units_per_second > 0.0;
     account.bucket_level = if carries_on {
@@ -145,7 +145,7 @@
     requested - granted
 }
 
-/// What flowed over since the window began, once that is worth a call.
+/// What flowed over since the window began, once that justifies a call.
 fn overflow_to_correct(plan: &Plan, level_by_total: f64, call: &CounterCall) -> f64 {
     let overflow = level_by_total + call.lease_units - plan.burst_units;
     if overflow < plan.burst_units * OVERFLOW_SHARE {
--- a/src/decision/quota/replies.rs
+++ b/src/decision/quota/replies.rs
@@ -1,4 +1,4 @@
-//! Replies of the counter service: what they change in an account, and what the service is told in return.
+//! Replies of the counter service: what they change in an account, and what the service is sent in return.
 
 use super::counter_calls::{revert_call, CounterCall, CounterReply, Increment};
 use super::counter_window::CounterWindow;
@@ -6,7 +6,7 @@
 use super::{lease, QuotaLedger};
 use crate::decision::{AccountId, Action, CounterKey, Micros, Settings};
 
-/// Excess of at most this many units is not worth a call.
+/// Excess of at most this many units does not justify a call.
 const LEAST_EXCESS: f64 = 0.01;
 
 impl QuotaLedger {
@@ -46,7 +46,7 @@
     }
 
     /// Takes in what became of a call that had timed out. A slow counter adds a call though its reply comes
-    /// too late: taken for draws of other nodes, the units would serve nobody, and the quota would look
+    /// too late: taken for draws of other nodes, the units would serve nobody, and the quota would seem
     /// used up.
     pub(in crate::decision) fn on_late_reply(
         &mut self,
@@ -60,7 +60,7 @@
         let id = timed_out.account;
         let Some(account) = self.accounts.get_mut(&id) else { return };
         match reply {
-            // The total of a window that is over tells nothing of the present one.
+            // The total of a window that is over shows nothing of the present one.
             CounterReply::Total(total) if key == CounterWindow::at(id, now).key() => {
                 let correction = self.reconcile(settings, id, timed_out.call, total, now);
                 self.return_late_excess(id, correction.excess_units, now, actions);
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Takes the total after an added call into the account. Returns what the counter has to be told.
+    /// Takes the total after an added call into the account. Returns the correction that the counter needs.
     fn reconcile(
         &mut self,
         settings: &Settings,
@@ -89,7 +89,7 @@
             self.speculation.record_reply(account, is_short, now);
             if is_short {
                 correction.excess_units += call.sampled_units;
-                // A part of a request left over at each of a hundred nodes would strand the whole burst:
+                // A part of a request left over at each of a hundred nodes would strand all of the burst:
                 // with the bucket short, what serves nobody who waits is released at once, and not when it
                 // is idle.
                 correction.excess_units += lease::take_unneeded(account);
@@ -98,7 +98,7 @@
         correction
     }
 
-    /// Calls the counter for a correction, if it is worth a call.
+    /// Calls the counter for a correction, if it justifies a call.
     fn send_correction(
         &mut self,
         id: AccountId,
--- a/src/decision/quota/speculation.rs
+++ b/src/decision/quota/speculation.rs
@@ -19,38 +19,39 @@
 /// What a full fleet adds to the cost of a speculative admission, as a share of the request's value: it
 /// takes the place of other requests.
 const FULL_FLEET_COST: f64 = 0.5;
-/// Weight of a new request in the mean stake.
-const MEAN_STAKE_GAIN: f64 = 0.02;
-/// A request asks the counter by its stake over the mean one, within these bounds.
-const LEAST_RELATIVE_STAKE: f64 = 0.2;
-const GREATEST_RELATIVE_STAKE: f64 = 5.0;
+/// Weight of a new request in the mean value of asking.
+const MEAN_VALUE_OF_ASKING_GAIN: f64 = 0.02;
+/// A request asks the counter by its value of asking over the mean one, within these bounds.
+const LEAST_RELATIVE_VALUE: f64 = 0.2;
+const GREATEST_RELATIVE_VALUE: f64 = 5.0;
 /// The share of the requested value that speculative admissions may cost. What they let through beyond
 /// quota costs several times what is expected, since replies lag behind and rejected clients retry.
 const BALANCE_SHARE: f64 = 0.015;
 /// The greatest balance, in requests of the greatest value.
 const BALANCE_LIMIT: f64 = 3.0;
 
-/// What is at stake with one request that neither a lease nor the counter's totals decide.
+/// What is expected of a request that neither a lease nor the counter's totals decide.
 pub(super) struct Assessment {
-    /// What it costs in the mean to decide without asking, whichever way is the better.
-    stake: f64,
+    /// What it costs in the mean to decide without asking, whichever way is the better: the expected value
+    /// of the information that the counter has.
+    value_of_asking: f64,
     /// What it costs in the mean to admit the request without asking.
     expected_cost: f64,
-    /// The request is worth more than what admitting it costs in the mean.
-    is_worth_admitting: bool,
+    /// Admitting the request without asking earns more in the mean than it costs.
+    is_profitable: bool,
 }
 
 /// How the counter is asked about a request.
 pub(super) struct AskProbability {
     pub probability: f64,
-    /// How many requests that are not asked about the request stands for.
+    /// How many requests that no call asks for the request represents.
     pub sampling_weight: f64,
 }
 
 /// Evidence for speculative admissions, and the balance that bounds them.
 pub(super) struct Speculation {
     balance: f64,
-    mean_stake: f64,
+    mean_value_of_asking: f64,
     /// By plan, the share of the counter's replies that found a bucket short.
     shortage_by_plan: BTreeMap<usize, Tally>,
 }
@@ -60,7 +61,7 @@
     pub fn new(settings: &Settings) -> Self {
         Speculation {
             balance: BALANCE_LIMIT * greatest_unit_value(settings),
-            mean_stake: 0.0,
+            mean_value_of_asking: 0.0,
             shortage_by_plan: BTreeMap::new(),
         }
     }
@@ -92,35 +93,35 @@
         let value = plan.weight_factor * request.units * request.priority_weight;
         let cost_of_rejecting = 1.0 - shortage;
         let cost_of_admitting = shortage * cost_beyond_quota.max(0.0);
-        let stake = cost_of_rejecting.min(cost_of_admitting) * value;
+        let value_of_asking = cost_of_rejecting.min(cost_of_admitting) * value;
         if request.turn == QuotaTurn::OnArrival {
-            self.mean_stake += (stake - self.mean_stake) * MEAN_STAKE_GAIN;
+            self.mean_value_of_asking +=
+                (value_of_asking - self.mean_value_of_asking) * MEAN_VALUE_OF_ASKING_GAIN;
         }
-        // Where this node's part of a burst holds a whole request, the even share serves.
+        // Where this node's part of a burst holds a request, the even share serves.
         let even_share_is_too_small = plan.burst_units / account.node_count < account.mean_units;
         let has_hard_ceiling = plan.ceiling_units_per_second > 0.0;
         // In a full fleet what is admitted displaces other requests: doubtful ones are the first to go.
-        let is_worth_its_cost =
-            cost_of_rejecting > shortage * cost_beyond_quota + fleet_load * FULL_FLEET_COST;
+        let earns_its_cost = cost_of_rejecting > shortage * cost_beyond_quota + fleet_load * FULL_FLEET_COST;
         Assessment {
-            stake,
+            value_of_asking,
             expected_cost: cost_of_admitting * value,
-            is_worth_admitting: even_share_is_too_small && !has_hard_ceiling && is_worth_its_cost,
+            is_profitable: even_share_is_too_small && !has_hard_ceiling && earns_its_cost,
         }
     }
 
-    /// How likely the counter is asked: more likely the more is at stake, so that `ask_share` of all
+    /// How likely the counter is asked: more likely the more it is of use, so that about `ask_share` of all
     /// requests ask.
     pub fn ask_probability(&self, assessment: &Assessment, ask_share: f64) -> AskProbability {
-        let relative_stake = assessment.stake / self.mean_stake.max(1e-9);
-        let odds = ask_share * relative_stake.clamp(LEAST_RELATIVE_STAKE, GREATEST_RELATIVE_STAKE);
+        let relative_value = assessment.value_of_asking / self.mean_value_of_asking.max(1e-9);
+        let odds = ask_share * relative_value.clamp(LEAST_RELATIVE_VALUE, GREATEST_RELATIVE_VALUE);
         let probability = odds / (1.0 - ask_share + odds);
         // Only what is admitted unasked has to be drawn by those that ask.
-        let sampling_weight = if assessment.is_worth_admitting { 1.0 / probability - 1.0 } else { 0.0 };
+        let sampling_weight = if assessment.is_profitable { 1.0 / probability - 1.0 } else { 0.0 };
         AskProbability { probability, sampling_weight }
     }
 
-    /// Admits a request that is worth its expected cost, if the bucket should hold it, and pays for it.
+    /// Admits a request that is profitable, if the bucket should hold it, and pays for it.
     /// While the counter is silent nothing better is known and nobody's quota is kept by paying, so it is
     /// free.
     pub fn try_admit(
@@ -130,7 +131,7 @@
         bucket_level: f64,
         counter_is_silent: bool,
     ) -> bool {
-        if !assessment.is_worth_admitting || bucket_level < units {
+        if !assessment.is_profitable || bucket_level < units {
             return false;
         }
         if counter_is_silent {
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -23,7 +23,7 @@
     admitted_units
 }
 
-/// Has the counter tell the node that the account's bucket is long empty.
+/// Has the counter reply with totals that leave the account's bucket empty.
 fn exhaust_quota(node: &mut NodeUnderTest) {
     let first = counter_call(&node.request(SAFE, 1.0).actions).expect("a call");
     let mut actions = node.end_counter_call(first, Outcome::Ok, 500.0);
@@ -259,23 +259,23 @@
 fn overflow_of_an_account_with_few_requests_is_not_spent_on_top_of_the_burst() {
     let mut counter = FakeCounter::default();
     // Half of its rate for a while: the bucket stays full, and a unit a second flows over.
-    let mut quiet_node = NodeUnderTest::new(settings_with_quota(), 4);
+    let mut slow_node = NodeUnderTest::new(settings_with_quota(), 4);
     for _ in 0..11 {
-        quiet_node.advance(SECOND);
-        send_and_complete(&mut quiet_node, &mut counter);
+        slow_node.advance(SECOND);
+        send_and_complete(&mut slow_node, &mut counter);
     }
     // Then all at once, through nodes that know nothing of it.
     let mut admitted = 0;
     for _ in 0..6 {
         let mut node = NodeUnderTest::new(settings_with_quota(), 4);
-        node.now = quiet_node.now;
+        node.now = slow_node.now;
         for _ in 0..10 {
             admitted += send_and_complete(&mut node, &mut counter);
         }
     }
-    // What the quiet node has leased ahead of use is granted, too.
-    quiet_node.advance(MILLISECOND);
-    let release = counter_call(&quiet_node.event(Event::ShutdownStarted));
+    // What the slow node has leased ahead of use is granted, too.
+    slow_node.advance(MILLISECOND);
+    let release = counter_call(&slow_node.event(Event::ShutdownStarted));
     let idle_lease = -release.map_or(0.0, |call| call.amount);
     let granted = admitted as f64 + idle_lease;
     assert!((11.0..=16.0).contains(&granted), "{admitted} admitted and {idle_lease} leased of a burst of 12");
