--- a/tests/endpoint_selection.rs
+++ b/tests/endpoint_selection.rs
@@ -266,25 +266,26 @@
     let mut in_flight: VecDeque<StartedAttempt> = VecDeque::new();
     for number in 0..600 {
         node.advance(8 * MILLISECOND);
-        let before = node.node.work().0;
+        let before = node.node.work_counters().endpoints_examined;
         in_flight.push_back(node.request_started(SAFE));
-        examined_per_request = examined_per_request.max(node.node.work().0 - before);
+        examined_per_request =
+            examined_per_request.max(node.node.work_counters().endpoints_examined - before);
         if in_flight.len() > 6 {
             let oldest = in_flight.pop_front().expect("one is in flight");
             node.complete(&oldest);
         }
         if number % 3 == 0 {
-            let before = node.node.work().0;
+            let before = node.node.work_counters().endpoints_examined;
             node.tick();
-            examined_per_tick = examined_per_tick.max(node.node.work().0 - before);
+            examined_per_tick = examined_per_tick.max(node.node.work_counters().endpoints_examined - before);
         }
     }
-    let before = node.node.work().1;
+    let before = node.node.work_counters().entries_changed;
     node.event(delta(vec![entry(5, EndpointState::Active, node.now), active_entry(6)]));
-    let changed_by_delta = node.node.work().1 - before;
-    let before = node.node.work().1;
+    let changed_by_delta = node.node.work_counters().entries_changed - before;
+    let before = node.node.work_counters().entries_changed;
     node.event(snapshot_with_three_changes(endpoint_count, node.now));
-    let changed_by_snapshot = node.node.work().1 - before;
+    let changed_by_snapshot = node.node.work_counters().entries_changed - before;
     Work { examined_per_request, examined_per_tick, changed_by_delta, changed_by_snapshot }
 }
 
@@ -338,11 +339,11 @@
     let new: BTreeSet<EndpointId> = (1_000..2_000).map(|number| active_entry(number).id).collect();
     assert!(endpoints_in_use(&mut node).is_subset(&new));
     // The endpoint where an attempt is still in flight is kept until that ends.
-    assert_eq!(node.node.kept().1, 1_001);
+    assert_eq!(node.node.retained_entries().endpoints, 1_001);
     node.complete(&old_attempt);
     node.advance(SECOND);
     node.tick();
-    assert_eq!(node.node.kept().1, 1_000);
+    assert_eq!(node.node.retained_entries().endpoints, 1_000);
 }
 
 #[test]
@@ -358,7 +359,7 @@
             let listed_twice = active_entry(2).id;
             let is_in_use = endpoints_in_use(&mut node).contains(&listed_twice);
             assert_eq!(is_in_use, last == EndpointState::Active, "{kind:?}, {last:?}");
-            assert_eq!(node.node.kept().1, 3);
+            assert_eq!(node.node.retained_entries().endpoints, 3);
         }
     }
 }
@@ -368,10 +369,10 @@
     let mut node = NodeUnderTest::new(settings_of_node(0, 1), 0);
     node.event(snapshot(0..2));
     node.event(delta(vec![entry(8, EndpointState::Removed, 0), entry(9, EndpointState::Draining, 0)]));
-    assert_eq!(node.node.kept().1, 3, "the one that was removed is not kept");
+    assert_eq!(node.node.retained_entries().endpoints, 3, "the one that was removed is not kept");
     assert_eq!(endpoints_in_use(&mut node).len(), 2);
     node.event(delta(vec![active_entry(7)]));
-    assert_eq!(node.node.kept().1, 4);
+    assert_eq!(node.node.retained_entries().endpoints, 4);
     assert_eq!(endpoints_in_use(&mut node).len(), 3);
 }
 
--- a/tests/quota_scaling.rs
+++ b/tests/quota_scaling.rs
@@ -197,9 +197,9 @@
         }
     }
     // 50 accounts a second, each with a bucket that is full again after 6 s; and 4 endpoints at a time.
-    let (accounts, endpoints) = node.node.kept();
-    assert!(accounts <= 50 * 8, "{accounts} accounts of 3000 in a minute are kept");
-    assert_eq!(endpoints, 4);
+    let retained = node.node.retained_entries();
+    assert!(retained.accounts <= 50 * 8, "{} accounts of 3000 in a minute are kept", retained.accounts);
+    assert_eq!(retained.endpoints, 4);
 }
 
 #[test]
