--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -17,7 +17,7 @@
 const MIN_WEIGHT: f64 = 1e-9;
 /// A request is shed when its expected response time is past this share of the latency objective: for
 /// requests of the least weight and for those of the greatest. Work times vary about as much as their mean,
-/// hence well under the whole. Attempts that got lost are left out of those in flight, hence 0.48 and not one
+/// hence well under 1. Attempts that got lost are left out of those in flight, hence 0.48 and not one
 /// half.
 pub(super) const LEAST_SHED_THRESHOLD: f64 = 0.25;
 pub(super) const GREATEST_SHED_THRESHOLD: f64 = 0.48;
--- a/tests/oracle/mod.rs
+++ b/tests/oracle/mod.rs
@@ -2,6 +2,7 @@
 //! from docs/design.md. The oracle follows a node event by event and checks where each attempt is sent.
 //! Quotas and overload are not in it: whether a request is passed on at all is taken from the node's actions.
 
+pub mod checked_node;
 mod failure_share;
 mod selection;
 
@@ -26,7 +27,7 @@
     Unanswered,
 }
 
-/// Where an endpoint stands.
+/// The zone and cell of an endpoint.
 #[derive(Clone, Copy)]
 struct Placement {
     zone: u32,
--- a/tests/oracle/selection.rs
+++ b/tests/oracle/selection.rs
@@ -218,7 +218,7 @@
         subset
     }
 
-    /// The share of its full capacity that an endpoint surely has.
+    /// The share of its full capacity that an endpoint has at least.
     pub(super) fn warm_fraction(&self, endpoint: &Endpoint) -> f64 {
         let rules = &self.settings.warm_up;
         if endpoint.started_at == 0 {
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,359 +1,12 @@
-//! Endpoints that warm up under the sum of what twenty to thirty nodes send: that many decision engines
-//! before one model of the endpoints, on given time and fixed seeds.
+//! Endpoints that warm up under the sum of what twenty to thirty nodes send: they get part of the load and
+//! survive it.
 
+mod cold_start;
 mod common;
 
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap};
-
-use common::{endpoint_entry, settings_without_quota, MILLISECOND, SECOND};
-use edge_node::decision::{
-    AccountId, Action, DecisionEngine, EndedAttempt, EndpointEntry, EndpointId, EndpointState,
-    EndpointUpdateKind, Event, Micros, NewRequest, Outcome, RequestId, Settings, WarmUp,
-};
-use fastrand::Rng;
-
-/// Requests of mean work that a warm endpoint serves per second.
-const CAPACITY: f64 = 16.0;
-/// When the nodes start, when the cold endpoints start, and the end.
-const NODES_START: Micros = 100 * SECOND;
-const COLD_START: Micros = 110 * SECOND;
-const END: Micros = 130 * SECOND;
-/// Time of a request beside its work, and time that a client leaves for the response to arrive.
-const OVERHEAD: Micros = 60 * MILLISECOND;
-const RESPONSE_MARGIN: Micros = 25 * MILLISECOND;
-
-/// Seven in ten nodes are killed so long after the cold endpoints' start, and are back after the outage;
-/// meanwhile the others get the requests that come for them.
-#[derive(Clone, Copy)]
-struct NodeOutage {
-    after: Micros,
-    duration: Micros,
-}
-
-/// A scenario: nodes, endpoints that are warm, some that start cold, and the load, as a share of what the
-/// warm ones can serve.
-struct Scenario {
-    node_count: u32,
-    warm_count: u32,
-    cold_count: u32,
-    load_before: f64,
-    load_in_burst: f64,
-    /// How long after the cold endpoints' start the burst begins.
-    burst_after: Micros,
-    outage: Option<NodeOutage>,
-    warm_up: WarmUp,
-}
-
-impl Scenario {
-    /// How many nodes are not killed.
-    fn survivor_count(&self) -> usize {
-        (self.node_count as usize * 3).div_ceil(10)
-    }
-
-    fn is_down(&self, node: usize, now: Micros) -> bool {
-        let is_during = |outage: NodeOutage| {
-            let from = COLD_START + outage.after;
-            (from..from + outage.duration).contains(&now)
-        };
-        node >= self.survivor_count() && self.outage.is_some_and(is_during)
-    }
-
-    fn is_cold(&self, endpoint: u64) -> bool {
-        endpoint >= u64::from(self.warm_count)
-    }
-
-    /// The share of its capacity that an endpoint has.
-    fn warm_fraction(&self, endpoint: u64, at: Micros) -> f64 {
-        if !self.is_cold(endpoint) {
-            return 1.0;
-        }
-        let progress = at.saturating_sub(COLD_START) as f64 / self.warm_up.duration as f64;
-        (self.warm_up.initial_fraction + (1.0 - self.warm_up.initial_fraction) * progress).min(1.0)
-    }
-
-    /// The load as a share of what the warm endpoints can serve.
-    fn load(&self, now: Micros) -> f64 {
-        if now < COLD_START + self.burst_after {
-            self.load_before
-        } else {
-            self.load_in_burst
-        }
-    }
-
-    /// The endpoint list before the cold endpoints start.
-    fn warm_list(&self) -> Event {
-        let entries = (0..self.warm_count).map(|id| endpoint_entry(id, EndpointState::Active, 0)).collect();
-        Event::EndpointsUpdated { kind: EndpointUpdateKind::Snapshot, entries }
-    }
-
-    /// The endpoint list from their start on.
-    fn whole_list(&self) -> Event {
-        let entry = |id: u32| -> EndpointEntry {
-            let started_at = if id < self.warm_count { 0 } else { COLD_START };
-            endpoint_entry(id, EndpointState::Active, started_at)
-        };
-        let entries = (0..self.warm_count + self.cold_count).map(entry).collect();
-        Event::EndpointsUpdated { kind: EndpointUpdateKind::Snapshot, entries }
-    }
-}
-
-enum Occurrence {
-    /// A client sends a request to a node.
-    Request { node: usize },
-    /// An event for the process that was the node's `incarnation`-th.
-    Event { node: usize, incarnation: u32, event: Event },
-    /// A killed node is back, with nothing but its endpoint list.
-    Restart { node: usize },
-}
-
-/// What is to happen, in order of time; at one point in time in the order in which it was added.
-#[derive(Default)]
-struct Agenda {
-    order: BinaryHeap<Reverse<(Micros, u64)>>,
-    occurrences: BTreeMap<u64, Occurrence>,
-    next_number: u64,
-}
-
-impl Agenda {
-    fn add(&mut self, at: Micros, occurrence: Occurrence) {
-        self.order.push(Reverse((at, self.next_number)));
-        self.occurrences.insert(self.next_number, occurrence);
-        self.next_number += 1;
-    }
-
-    fn take(&mut self) -> Option<(Micros, Occurrence)> {
-        let Reverse((at, number)) = self.order.pop()?;
-        self.occurrences.remove(&number).map(|occurrence| (at, occurrence))
-    }
-}
-
-/// How the cold start went.
-struct ColdStart {
-    /// The fullest window of any cold endpoint, relative to the load that it survives.
-    fullest_window: f64,
-    /// The share of all attempts that the cold endpoints got.
-    cold_share: f64,
-}
-
-/// The nodes, the endpoints and the clients of one run.
-struct Simulation<'a> {
-    scenario: &'a Scenario,
-    seed: u64,
-    settings: Settings,
-    random: Rng,
-    agenda: Agenda,
-    nodes: Vec<DecisionEngine>,
-    incarnations: Vec<u32>,
-    request_count: u64,
-    deadlines: BTreeMap<RequestId, Micros>,
-    /// By request, when its attempts were sent.
-    attempts: BTreeMap<RequestId, Vec<Micros>>,
-    /// By endpoint, when its queue is worked off, and when attempts arrived.
-    busy_until: BTreeMap<u64, Micros>,
-    arrivals: BTreeMap<u64, Vec<Micros>>,
-}
-
-impl<'a> Simulation<'a> {
-    fn new(scenario: &'a Scenario, seed: u64) -> Simulation<'a> {
-        let settings = Settings {
-            node_count: scenario.node_count,
-            warm_up: scenario.warm_up.clone(),
-            ..settings_without_quota()
-        };
-        let mut simulation = Simulation {
-            scenario,
-            seed,
-            settings,
-            random: Rng::with_seed(seed),
-            agenda: Agenda::default(),
-            nodes: Vec::new(),
-            incarnations: vec![0; scenario.node_count as usize],
-            request_count: 0,
-            deadlines: BTreeMap::new(),
-            attempts: BTreeMap::new(),
-            busy_until: BTreeMap::new(),
-            arrivals: BTreeMap::new(),
-        };
-        for node in 0..scenario.node_count {
-            simulation.nodes.push(simulation.engine(node, 0));
-        }
-        for node in 0..scenario.node_count as usize {
-            simulation.plan(node);
-        }
-        simulation
-    }
-
-    fn engine(&self, node_index: u32, seed_offset: u64) -> DecisionEngine {
-        let seed = self.seed * 1_000 + seed_offset + u64::from(node_index);
-        DecisionEngine::new(seed, Settings { node_index, ..self.settings.clone() })
-    }
-
-    /// Plans what happens to a node from outside.
-    fn plan(&mut self, node: usize) {
-        let warm_list = Occurrence::Event { node, incarnation: 0, event: self.scenario.warm_list() };
-        let whole_list = Occurrence::Event { node, incarnation: 0, event: self.scenario.whole_list() };
-        self.agenda.add(NODES_START, warm_list);
-        self.agenda.add(COLD_START, whole_list);
-        self.agenda.add(NODES_START + 1, Occurrence::Request { node });
-        if let Some(outage) = self.scenario.outage.filter(|_| node >= self.scenario.survivor_count()) {
-            let back_at = COLD_START + outage.after + outage.duration;
-            self.agenda.add(back_at, Occurrence::Restart { node });
-        }
-    }
-
-    fn run(mut self) -> ColdStart {
-        while let Some((now, occurrence)) = self.agenda.take().filter(|&(at, _)| at < END) {
-            match occurrence {
-                Occurrence::Event { node, incarnation, event } => {
-                    if incarnation == self.incarnations[node] && !self.scenario.is_down(node, now) {
-                        self.handle(node, now, event);
-                    }
-                }
-                Occurrence::Restart { node } => {
-                    self.incarnations[node] += 1;
-                    self.nodes[node] = self.engine(node as u32, 500);
-                    self.handle(node, now, self.scenario.whole_list());
-                }
-                Occurrence::Request { node } => self.request(node, now),
-            }
-        }
-        ColdStart { fullest_window: self.fullest_window(), cold_share: self.cold_share() }
-    }
-
-    /// A client of a node may send a request, and the next one is planned. Requests are drawn at the higher
-    /// of the two loads and thinned out, so that a burst begins exactly on time.
-    fn request(&mut self, node: usize, now: Micros) {
-        let scenario = self.scenario;
-        let highest_load = scenario.load_before.max(scenario.load_in_burst);
-        let rate = highest_load * CAPACITY * f64::from(scenario.warm_count) / f64::from(scenario.node_count);
-        let gap = -(1.0 - self.random.f64()).ln() / rate * 1e6;
-        self.agenda.add(now + gap.max(1.0) as Micros, Occurrence::Request { node });
-        if self.random.f64() >= scenario.load(now) / highest_load {
-            return;
-        }
-        self.request_count += 1;
-        let id = RequestId::from(self.request_count.to_string().as_str());
-        let deadline = now + 2 * SECOND;
-        self.deadlines.insert(id.clone(), deadline);
-        let request = NewRequest {
-            id,
-            account: AccountId(self.request_count),
-            class: 0,
-            plan: 0,
-            units: 1.0,
-            first_account_node: 0,
-            account_node_count: 1,
-            is_retry: false,
-            deadline,
-        };
-        let is_down = scenario.is_down(node, now);
-        let node = if is_down { self.random.usize(..scenario.survivor_count()) } else { node };
-        self.handle(node, now, Event::RequestReceived(request));
-    }
-
-    /// Has a node handle an event and does what it decides.
-    fn handle(&mut self, node: usize, now: Micros, event: Event) {
-        let mut actions = Vec::new();
-        self.nodes[node].handle(now, event, &mut actions);
-        for action in actions {
-            match action {
-                Action::SetTimer { id, after } => {
-                    self.add_event(now + after, node, Event::TimerFired { id });
-                }
-                Action::StartAttempt { request, endpoint, .. } => {
-                    self.start_attempt(node, now, request, endpoint);
-                }
-                Action::CancelAttempt { request, attempt_number } => {
-                    self.cancel_attempt(node, now, request, attempt_number);
-                }
-                _ => {}
-            }
-        }
-    }
-
-    fn add_event(&mut self, at: Micros, node: usize, event: Event) {
-        let incarnation = self.incarnations[node];
-        self.agenda.add(at, Occurrence::Event { node, incarnation, event });
-    }
-
-    /// An attempt queues at its endpoint, which works it off at the speed that it has on arrival.
-    fn start_attempt(&mut self, node: usize, now: Micros, request: RequestId, endpoint: EndpointId) {
-        self.arrivals.entry(endpoint.0).or_default().push(now);
-        let work = (1e6 / (CAPACITY * self.scenario.warm_fraction(endpoint.0, now))) as Micros;
-        let busy_until = self.busy_until.entry(endpoint.0).or_default();
-        let done_at = (*busy_until).max(now) + work;
-        let give_up_at = self.deadlines[&request] - RESPONSE_MARGIN;
-        let in_time = done_at + OVERHEAD < give_up_at;
-        if done_at < give_up_at {
-            *busy_until = done_at;
-        }
-        let end_at = (done_at + OVERHEAD).min(give_up_at.max(now + 1));
-        let attempts = self.attempts.entry(request.clone()).or_default();
-        attempts.push(now);
-        let end = EndedAttempt {
-            request,
-            attempt_number: attempts.len() as u32 - 1,
-            endpoint,
-            outcome: if in_time { Outcome::Ok } else { Outcome::TimedOut },
-            elapsed: end_at - now,
-            request_completed: in_time,
-            final_units: None,
-        };
-        self.add_event(end_at, node, Event::AttemptEnded(end));
-    }
-
-    fn cancel_attempt(&mut self, node: usize, now: Micros, request: RequestId, attempt_number: u32) {
-        let sent_at = self.attempts[&request][attempt_number as usize];
-        let end = EndedAttempt {
-            request,
-            attempt_number,
-            // The node looks up the endpoint by the attempt.
-            endpoint: EndpointId::default(),
-            outcome: Outcome::Cancelled,
-            elapsed: now - sent_at,
-            request_completed: false,
-            final_units: None,
-        };
-        self.add_event(now, node, Event::AttemptEnded(end));
-    }
-
-    /// Over all cold endpoints, the most attempts within one window of `overload_duration` while it was
-    /// warming up, relative to what it survives.
-    fn fullest_window(&self) -> f64 {
-        let scenario = self.scenario;
-        let rules = &scenario.warm_up;
-        let mut fullest = 0.0f64;
-        for (&endpoint, arrivals) in self.arrivals.iter().filter(|(id, _)| scenario.is_cold(**id)) {
-            for (last, &until) in arrivals.iter().enumerate() {
-                let from = until.saturating_sub(rules.overload_duration).max(COLD_START);
-                let warm_fraction = scenario.warm_fraction(endpoint, from);
-                if warm_fraction >= 1.0 {
-                    break;
-                }
-                let count = arrivals[..=last].iter().filter(|&&at| at >= from).count() as f64;
-                let survivable =
-                    rules.overload_multiple * warm_fraction * CAPACITY * rules.overload_duration as f64 / 1e6;
-                fullest = fullest.max(count / (survivable + 2.0 * survivable.sqrt() + 2.0));
-            }
-        }
-        fullest
-    }
-
-    /// The share of all attempts since the cold endpoints' start that they got.
-    fn cold_share(&self) -> f64 {
-        let mut to_cold = 0;
-        let mut to_all = 0;
-        for (&endpoint, arrivals) in &self.arrivals {
-            let count = arrivals.iter().filter(|&&at| at >= COLD_START).count();
-            to_all += count;
-            if self.scenario.is_cold(endpoint) {
-                to_cold += count;
-            }
-        }
-        to_cold as f64 / to_all.max(1) as f64
-    }
-}
+use cold_start::{NodeOutage, Scenario, Simulation};
+use common::{MILLISECOND, SECOND};
+use edge_node::decision::WarmUp;
 
 fn scenarios(warm_up: &WarmUp) -> [Scenario; 5] {
     let few_among_many_under_burst = Scenario {
@@ -362,9 +15,7 @@
         cold_count: 3,
         load_before: 0.6,
         load_in_burst: 0.9,
-        burst_after: 0,
-        outage: None,
-        warm_up: warm_up.clone(),
+        ..Scenario::calm(warm_up)
     };
     let more_cold_than_warm = Scenario {
         node_count: 20,
@@ -373,8 +24,7 @@
         load_before: 0.6,
         load_in_burst: 0.9,
         burst_after: SECOND,
-        outage: None,
-        warm_up: warm_up.clone(),
+        ..Scenario::calm(warm_up)
     };
     let burst_after_idle_time = Scenario {
         node_count: 30,
@@ -383,8 +33,7 @@
         load_before: 0.02,
         load_in_burst: 1.2,
         burst_after: 8 * SECOND,
-        outage: None,
-        warm_up: warm_up.clone(),
+        ..Scenario::calm(warm_up)
     };
     let far_more_than_warm_ones_can_serve = Scenario {
         node_count: 30,
@@ -392,9 +41,7 @@
         cold_count: 8,
         load_before: 0.9,
         load_in_burst: 2.0,
-        burst_after: 0,
-        outage: None,
-        warm_up: warm_up.clone(),
+        ..Scenario::calm(warm_up)
     };
     let most_nodes_killed = Scenario {
         node_count: 28,
@@ -402,9 +49,8 @@
         cold_count: 6,
         load_before: 1.0,
         load_in_burst: 1.4,
-        burst_after: 0,
         outage: Some(NodeOutage { after: SECOND, duration: 2 * SECOND }),
-        warm_up: warm_up.clone(),
+        ..Scenario::calm(warm_up)
     };
     [
         few_among_many_under_burst,
