--- a/src/decision/quota/account.rs
+++ b/src/decision/quota/account.rs
@@ -3,19 +3,16 @@
 use std::collections::VecDeque;
 
 use super::counter_calls::CounterCall;
-use super::counter_window::CounterWindow;
-use crate::decision::estimators::{Bucket, Rate, Tally};
+use super::counter_window::COUNTER_LIFETIME;
+use super::demand::Demand;
+use super::fleet_bucket::FleetBucket;
+use crate::decision::estimators::{Bucket, Tally};
 use crate::decision::{Micros, Plan, RequestId};
 
-/// Smoothing of an account's rates, in microseconds: a few requests of a busy account, less than a spike
-/// lasts.
-pub(super) const RATE_SPAN: f64 = 2.0e6;
 /// An account is kept for at least this long after its latest request.
 const ACCOUNT_LIFETIME: Micros = 6_000_000;
 /// An account with a lease is kept for this long, so that the lease can be released first.
-const LEASED_ACCOUNT_LIFETIME: Micros = super::counter_window::COUNTER_LIFETIME;
-/// Weight of a new request in the mean of the units per request.
-const MEAN_UNITS_GAIN: f64 = 0.1;
+const LEASED_ACCOUNT_LIFETIME: Micros = COUNTER_LIFETIME;
 
 /// A request that waits for the reply of the counter.
 pub(in crate::decision) struct QueuedRequest {
@@ -23,13 +20,6 @@
     pub units: f64,
 }
 
-/// The counter's total as it was last seen.
-#[derive(Clone, Copy)]
-pub(super) struct SeenTotal {
-    pub window: CounterWindow,
-    pub units: f64,
-}
-
 /// An account as this node knows it. Units are units of quota, rates are units per second.
 #[derive(Default)]
 pub(super) struct Account {
@@ -39,22 +29,14 @@
     pub node_count: f64,
     /// Units drawn from the counter that no request here has used yet.
     pub lease: f64,
-    /// Level of the fleet's token bucket as the counter's totals show it, and when it was computed.
-    pub bucket_level: f64,
-    pub bucket_level_at: Micros,
-    /// The latest total of the counter; none before its first reply.
-    pub last_total: Option<SeenTotal>,
+    /// The token bucket that the account has in the fleet.
+    pub bucket: FleetBucket,
+    /// What is requested and drawn here.
+    pub demand: Demand,
     /// Share of the counter's replies to a lease that found the bucket short.
     pub shortage: Tally,
     /// How many requests that no call asked for the next call represents.
     pub sampling_weight: f64,
-    /// What other nodes draw.
-    pub drawn_elsewhere: Rate,
-    /// What clients request here, and what of it was drawn.
-    pub requested: Rate,
-    pub drawn: Rate,
-    /// Mean of the units of a request.
-    pub mean_units: f64,
     /// The call to the counter that is in flight: one at a time.
     pub call: Option<CounterCall>,
     /// Requests that wait for the reply, in the order of their arrival.
@@ -71,9 +53,8 @@
     /// An account whose first request, of this many units, comes at the time `now`.
     pub fn new(plan: Option<&Plan>, node_count: f64, units: f64, now: Micros) -> Self {
         Account {
-            bucket_level: plan.map_or(0.0, |plan| initial_level(plan, node_count)),
-            bucket_level_at: now,
-            mean_units: units,
+            bucket: FleetBucket::new(plan, node_count, now),
+            demand: Demand::new(units),
             ..Account::default()
         }
     }
@@ -83,16 +64,13 @@
         self.plan = plan;
         self.node_count = node_count;
         self.last_request_at = now;
-        self.requested.add(now, units, RATE_SPAN);
-        self.mean_units += (units - self.mean_units) * MEAN_UNITS_GAIN;
+        self.demand.record_request(units, now);
     }
 
     /// What the fleet's bucket should hold now beside this node's lease, if the other nodes go on drawing as
     /// they did.
     pub fn projected_level(&self, plan: &Plan, now: Micros) -> f64 {
-        let net_rate = (plan.quota_units_per_second - self.drawn_elsewhere.get(now, RATE_SPAN))
-            .max(plan.quota_units_per_second / self.node_count);
-        let projected = self.bucket_level + net_rate * seconds_between(self.bucket_level_at, now);
+        let projected = self.bucket.projected_level(plan, self.node_count, now);
         projected.min(plan.burst_units - self.lease)
     }
 
@@ -108,8 +86,8 @@
             return false;
         }
         let slots = plan.max_in_flight as f64;
-        let in_flight_elsewhere = if self.last_total.is_some() {
-            let requests_elsewhere = self.drawn_elsewhere.get(now, RATE_SPAN) / self.mean_units.max(0.1);
+        let in_flight_elsewhere = if self.bucket.is_known() {
+            let requests_elsewhere = self.bucket.draw_rate_elsewhere(now) / self.demand.mean_units.max(0.1);
             requests_elsewhere * mean_latency / 1e6
         } else {
             slots * (1.0 - 1.0 / self.node_count)
@@ -133,23 +111,7 @@
 
     /// Whether the lease holds more than half of a mean request.
     pub fn has_releasable_lease(&self) -> bool {
-        self.lease > self.mean_units / 2.0
-    }
-}
-
-/// The seconds from `start` to `now`; 0 if it is the later.
-pub(super) fn seconds_between(start: Micros, now: Micros) -> f64 {
-    now.saturating_sub(start) as f64 / 1e6
-}
-
-/// What the bucket of an unknown account is taken to hold. Under a hard ceiling that is only half of this
-/// node's part: any number of nodes may restart while the counter is empty, and each would grant a full
-/// burst.
-fn initial_level(plan: &Plan, node_count: f64) -> f64 {
-    if plan.ceiling_units_per_second > 0.0 {
-        plan.burst_units / node_count / 2.0
-    } else {
-        plan.burst_units
+        self.lease > self.demand.mean_units / 2.0
     }
 }
 
--- a/src/decision/quota/even_share.rs
+++ b/src/decision/quota/even_share.rs
@@ -1,6 +1,6 @@
 //! The even share: while the counter gives no answer, each node admits its part of the quota by itself.
 
-use super::account::{Account, RATE_SPAN};
+use super::account::Account;
 use crate::decision::estimators::Bucket;
 use crate::decision::{Micros, Plan};
 
@@ -11,7 +11,7 @@
 /// bucket, whose level is given.
 pub(super) fn refill(account: &mut Account, plan: &Plan, bucket_level: f64, now: Micros) {
     let part = 1.0 / account.node_count;
-    let trust = if account.last_total.is_some() { 1.0 } else { INITIAL_SHARE_WITHOUT_TOTAL };
+    let trust = if account.bucket.is_known() { 1.0 } else { INITIAL_SHARE_WITHOUT_TOTAL };
     let initial = bucket_level.max(0.0) * part * trust;
     let share = account.even_share.get_or_insert(Bucket { store: initial, at: now });
     share.refill(now, plan.quota_units_per_second * part, plan.burst_units * part);
@@ -31,5 +31,5 @@
         share.store = (share.store - unleased_units).max(0.0);
     }
     account.unreported_units += unleased_units;
-    account.drawn.add(now, units, RATE_SPAN);
+    account.demand.record_draw(units, now);
 }
--- a/src/decision/quota/known_level.rs
+++ b/src/decision/quota/known_level.rs
@@ -29,8 +29,8 @@
     bucket: &BucketView,
 ) -> Option<QuotaDecision> {
     let Some(call) = &account.call else {
-        let is_short = account.last_total.is_some()
-            && bucket.level + account.lease - bucket.queued_units < request.units;
+        let is_short =
+            account.bucket.is_known() && bucket.level + account.lease - bucket.queued_units < request.units;
         return is_short.then_some(QuotaDecision::BeyondQuota);
     };
     let lease_after_call = account.lease + call.lease_units.min(bucket.level).max(0.0);
--- a/src/decision/quota/lease.rs
+++ b/src/decision/quota/lease.rs
@@ -1,6 +1,6 @@
 //! Leases: how many units a node draws from the counter ahead of use, and when it releases them.
 
-use super::account::{Account, RATE_SPAN};
+use super::account::Account;
 use crate::decision::{Micros, Plan};
 
 /// A lease covers the recent demand for this long, in microseconds: little of it lies idle.
@@ -13,14 +13,16 @@
 /// Takes units off the lease, which must hold as many.
 pub(super) fn draw_from_lease(account: &mut Account, units: f64, now: Micros) {
     account.lease -= units;
-    account.drawn.add(now, units, RATE_SPAN);
+    account.demand.record_draw(units, now);
 }
 
 /// Whether the lease should be refilled before it is used up, beside the requests. Only where the demand is
 /// large enough that a lease of the least size would not do.
 pub(super) fn needs_prefetch(account: &Account, now: Micros) -> bool {
     let demand = demand_ahead(account, now);
-    account.call.is_none() && demand > LEASE_REQUESTS * account.mean_units && account.lease < demand / 2.0
+    account.call.is_none()
+        && demand > LEASE_REQUESTS * account.demand.mean_units
+        && account.lease < demand / 2.0
 }
 
 /// How many units to lease for requests of `needed` units: a block sized by the demand, no more than half of
@@ -29,7 +31,7 @@
     let level = account.projected_level(plan, now);
     // Whole requests leased at each of a hundred nodes would strand the burst of an account with few
     // requests.
-    let least_block = (LEASE_REQUESTS * account.mean_units).min(plan.burst_units / account.node_count);
+    let least_block = (LEASE_REQUESTS * account.demand.mean_units).min(plan.burst_units / account.node_count);
     let block = demand_ahead(account, now).max(least_block);
     let missing = needed - account.lease;
     missing.max(block - account.lease).min((level / 2.0).max(missing)).max(0.0)
@@ -56,5 +58,5 @@
 
 /// The units that clients will request here within [`LEASE_AHEAD`].
 fn demand_ahead(account: &Account, now: Micros) -> f64 {
-    account.requested.get(now, RATE_SPAN) * LEASE_AHEAD / 1e6
+    account.demand.requested_rate(now) * LEASE_AHEAD / 1e6
 }
--- a/src/decision/quota/mod.rs
+++ b/src/decision/quota/mod.rs
@@ -2,18 +2,21 @@
 //!
 //! [`QuotaLedger`] has the accounts and puts the parts together. Reading order:
 //!
-//! - `account`: what is known of one account; `lease`: how much to lease, when to release it.
+//! - `account`: what is known of one account, with its `demand` here and its `fleet_bucket`; `lease`: how
+//!   much to lease, when to release it.
 //! - This file, [`QuotaLedger::draw`]: the rules by which a request gets its units. `known_level` decides
 //!   without the counter, `even_share` and `speculation` where the counter can't be asked.
 //! - `counter_window`, `counter_calls`, `counter_health`: the counters, the calls to them, and the pauses
 //!   after failures.
-//! - `replies` and `reconciliation`: what a reply changes, and how the bucket's level follows from a total.
+//! - `replies`, `reconciliation`: what a reply changes, and what the counter is corrected by.
 
 mod account;
 mod counter_calls;
 mod counter_health;
 mod counter_window;
+mod demand;
 mod even_share;
+mod fleet_bucket;
 mod known_level;
 mod lease;
 mod reconciliation;
@@ -24,7 +27,7 @@
 use std::collections::BTreeMap;
 
 use super::{AccountId, Action, Micros, NewRequest, RequestId, Settings};
-use account::{Account, RATE_SPAN};
+use account::Account;
 use counter_calls::{CounterCalls, Increment};
 use counter_health::CounterHealth;
 use known_level::{decide_by_known_level, BucketView};
@@ -193,7 +196,7 @@
     /// How the account uses its quota here.
     pub fn local_use(&self, account: AccountId, now: Micros) -> Option<LocalUse> {
         let account = self.accounts.get(&account)?;
-        Some(LocalUse { drawn_rate: account.drawn.get(now, RATE_SPAN), node_count: account.node_count })
+        Some(LocalUse { drawn_rate: account.demand.drawn_rate(now), node_count: account.node_count })
     }
 
     /// Releases the leases of accounts without requests for longer than `idle_for`, as far as the counter
--- a/src/decision/quota/speculation.rs
+++ b/src/decision/quota/speculation.rs
@@ -99,7 +99,7 @@
                 (value_of_asking - self.mean_value_of_asking) * MEAN_VALUE_OF_ASKING_GAIN;
         }
         // Where this node's part of a burst holds a request, the even share serves.
-        let even_share_is_too_small = plan.burst_units / account.node_count < account.mean_units;
+        let even_share_is_too_small = plan.burst_units / account.node_count < account.demand.mean_units;
         let has_hard_ceiling = plan.ceiling_units_per_second > 0.0;
         // In a full fleet what is admitted displaces other requests: doubtful ones are the first to go.
         let earns_its_cost = cost_of_rejecting > shortage * cost_beyond_quota + fleet_load * FULL_FLEET_COST;
