--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -47,7 +47,9 @@
     random: u64,
     /// The time of the latest event.
     now: Micros,
+    /// The first event has come, and with it the timer of the housekeeping was set.
     has_started: bool,
+    /// When the latest sweep ran.
     swept_at: Micros,
     shutdown_started: bool,
     quota: QuotaLedger,
@@ -97,7 +99,8 @@
         }
     }
 
-    /// Takes one event at the time `now` and appends what is to be done.
+    /// Takes one event at the time `now` and appends what is to be done. Time never runs backwards: an
+    /// earlier `now` counts as that of the latest event.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if !self.has_started {
@@ -165,7 +168,7 @@
         let polls = self.settings.polls_endpoint_list;
         if kind == EndpointUpdateKind::StaleSnapshot || (kind == EndpointUpdateKind::WatchLost && polls) {
             // A list from before a restart names endpoints that have failed since and lacks those that are
-            // warming up.
+            // warming up. Where the list is polled, a watch that was lost has to be started again.
             actions.push(if polls { Action::WatchEndpoints } else { Action::FetchEndpoints });
         }
         if kind == EndpointUpdateKind::WatchLost {
@@ -216,6 +219,8 @@
         }
     }
 
+    /// Releases idle leases, and forgets accounts, endpoints and timed-out calls that are not needed any
+    /// more.
     fn sweep(&mut self, actions: &mut Vec<Action>) {
         self.swept_at = self.now;
         self.quota.release_unused_leases(&self.settings, self.now, actions);
--- a/src/decision/quota/speculation.rs
+++ b/src/decision/quota/speculation.rs
@@ -41,7 +41,7 @@
     is_profitable: bool,
 }
 
-/// How the counter is asked about a request.
+/// How likely the counter is asked about a request, and what the call then reports.
 pub(super) struct AskProbability {
     pub probability: f64,
     /// How many requests that no call asks for the request represents.
@@ -116,14 +116,14 @@
         let relative_value = assessment.value_of_asking / self.mean_value_of_asking.max(1e-9);
         let odds = ask_share * relative_value.clamp(LEAST_RELATIVE_VALUE, GREATEST_RELATIVE_VALUE);
         let probability = odds / (1.0 - ask_share + odds);
-        // Only what is admitted unasked has to be drawn by those that ask.
+        // Those that ask also report what is admitted unasked, as a sample of it.
         let sampling_weight = if assessment.is_profitable { 1.0 / probability - 1.0 } else { 0.0 };
         AskProbability { probability, sampling_weight }
     }
 
-    /// Admits a request that is profitable, if the bucket should hold it, and pays for it.
-    /// While the counter is silent nothing better is known and nobody's quota is kept by paying, so it is
-    /// free.
+    /// Admits a request that is profitable, if the bucket should hold it, and pays for it. Returns whether
+    /// it did. While the counter is silent nothing better is known and paying would keep nobody's quota, so
+    /// it is free.
     pub fn try_admit(
         &mut self,
         assessment: &Assessment,
