--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -5,7 +5,9 @@
 use super::attempts::{PendingRequest, NO_RETRY_AFTER};
 use super::balancer::Balancer;
 use super::deferral::DeferralTerms;
-use super::load_shedding::{shortest_aim, LoadShedder, SHED_CHEAPEST, SHED_DEAREST};
+use super::load_shedding::{
+    shortest_latency_objective, LoadShedder, GREATEST_SHED_THRESHOLD, LEAST_SHED_THRESHOLD,
+};
 use super::quota::{QueuedRequest, QuotaDecision, QuotaRequest, QuotaTurn};
 use super::{AccountId, Action, DecisionEngine, Micros, NewRequest, Plan, RequestId, Settings, TICK};
 
@@ -81,7 +83,8 @@
 
     /// If the request is shed for load, when its client should come back. A retry is shed without a time.
     fn retry_after_of_overload(&self, request: &NewRequest) -> Option<Micros> {
-        let overload = self.load_shedder.overloaded(&self.settings, &self.balancer, request, self.now)?;
+        let overload =
+            self.load_shedder.time_until_admission(&self.settings, &self.balancer, request, self.now)?;
         let limits = &self.settings.limits;
         if limits.retry_after_allowed && !request.is_retry {
             Some(overload.clamp(TICK, limits.max_retry_after.max(TICK)))
@@ -100,12 +103,12 @@
         request.is_retry
             && !self.client_timeouts.is_full_timeout(request.class, remaining)
             && class.late_weight < LEAST_LATE_WEIGHT
-            && elapsed + self.balancer.latency / 2.0 > class.latency_objective as f64
+            && elapsed + self.balancer.expected_latency() / 2.0 > class.latency_objective as f64
     }
 
     /// Whether the client gives up before any response could come.
     fn cannot_meet_deadline(&self, request: &NewRequest) -> bool {
-        self.now + TICK + self.balancer.latency as Micros / 4 > request.deadline
+        self.now + TICK + self.balancer.expected_latency() as Micros / 4 > request.deadline
     }
 
     /// Applies the quotas to a request, in this order: attempts in flight, then units. What has no plan or
@@ -121,7 +124,7 @@
         let Some(request) = quota_request(&pending.request, turn, &self.settings) else {
             return QuotaDecision::Granted { drawn_units: 0.0 };
         };
-        if self.quota.is_concurrency_exhausted(&request, self.balancer.latency, now) {
+        if self.quota.is_concurrency_exhausted(&request, self.balancer.expected_latency(), now) {
             return QuotaDecision::BeyondQuota;
         }
         if request.plan.quota_units_per_second <= 0.0 {
@@ -145,8 +148,9 @@
         let Some(pending) = self.pending.get(id) else { return };
         let Some(plan) = self.settings.plans.get(pending.request.plan) else { return };
         let class = &self.settings.classes[pending.request.class];
-        let expected_latency = self.load_shedder.expected(&self.settings, &self.balancer, self.now);
-        let has_room = expected_latency < class.latency_objective as f64 * SHED_CHEAPEST;
+        let expected_latency =
+            self.load_shedder.expected_response_time(&self.settings, &self.balancer, self.now);
+        let has_room = expected_latency < class.latency_objective as f64 * LEAST_SHED_THRESHOLD;
         if has_room && is_profitable_beyond_quota(plan) {
             self.dispatch_admitted(id, actions);
         } else {
@@ -171,7 +175,7 @@
         let terms = if plan.quota_units_per_second > 0.0 {
             DeferralTerms::for_unit_quota(plan, request.units, &local_use)
         } else {
-            DeferralTerms::for_concurrency_quota(plan, self.balancer.latency, &local_use)
+            DeferralTerms::for_concurrency_quota(plan, self.balancer.expected_latency(), &local_use)
         };
         Some(terms.within(self.settings.limits.max_retry_after))
     }
@@ -209,6 +213,6 @@
 /// How full the fleet is: the expected latency over the one at which the most valuable requests are shed, 1
 /// at most.
 fn fleet_load(load_shedder: &LoadShedder, settings: &Settings, balancer: &Balancer, now: Micros) -> f64 {
-    let shedding_latency = (shortest_aim(settings) * SHED_DEAREST).max(1.0);
-    (load_shedder.expected(settings, balancer, now) / shedding_latency).min(1.0)
+    let shedding_latency = (shortest_latency_objective(settings) * GREATEST_SHED_THRESHOLD).max(1.0);
+    (load_shedder.expected_response_time(settings, balancer, now) / shedding_latency).min(1.0)
 }
--- a/src/decision/attempts/completion.rs
+++ b/src/decision/attempts/completion.rs
@@ -16,7 +16,7 @@
         let result = attempt_result(&attempt, end, pending.request.class, pending.request.plan);
         self.quota.attempt_ended(pending.request.account);
         // The balancer keeps an endpoint as long as an attempt at it is in flight.
-        let Some(recorded) = self.balancer.attempt_ended(&self.settings, self.now, &result) else { return };
+        let Some(recorded) = self.balancer.attempt_ended(self.now, &result) else { return };
         if let Some(response_time) = recorded.typical_response_time {
             self.load_shedder.record_response_time(self.now, response_time);
         }
--- a/src/decision/attempts/mod.rs
+++ b/src/decision/attempts/mod.rs
@@ -70,7 +70,7 @@
         RetryPolicy {
             settings: &self.settings,
             budget: &self.retry_budget,
-            mean_latency: self.balancer.latency,
+            mean_latency: self.balancer.expected_latency(),
             now: self.now,
         }
     }
@@ -83,7 +83,7 @@
             first_possible_run: pending.first_possible_run.map(|attempt| attempt.placement),
             exclude,
         };
-        self.balancer.choose(&self.settings, self.now, &mut self.random, &wanted)
+        self.balancer.select(&self.settings, self.now, &mut self.random, &wanted)
     }
 
     fn start_attempt(&mut self, id: &RequestId, selection: Selection, actions: &mut Vec<Action>) {
--- a/src/decision/balancer/endpoint_table.rs
+++ b/src/decision/balancer/endpoint_table.rs
@@ -29,7 +29,7 @@
 
 /// An active endpoint: its place on the ring of ids and in the table.
 #[derive(Clone, Copy)]
-pub(in crate::decision) struct RingEntry {
+struct RingEntry {
     id: EndpointId,
     slot: usize,
 }
@@ -49,11 +49,9 @@
     free_slots: Vec<usize>,
     /// The active endpoints in the order of their ids, which is the same at all nodes: the ring of
     /// subsetting.
-    // At the join: private, `active`.
-    pub(in crate::decision) ring: Vec<RingEntry>,
+    active: Vec<RingEntry>,
     /// The endpoints that are draining, or removed with attempts still in flight.
-    // At the join: private, `inactive`.
-    pub(in crate::decision) off: BTreeMap<EndpointId, usize>,
+    inactive: BTreeMap<EndpointId, usize>,
     /// The endpoints of each deduplication group in use.
     group_entries: BTreeSet<GroupEntry>,
     groups_in_use: GroupsInUse,
@@ -62,11 +60,9 @@
     /// Attempts in flight.
     in_flight: usize,
     /// Endpoints examined for requests and ticks since the start.
-    // At the join: private, `endpoints_examined`.
-    pub(in crate::decision) looked: Cell<u64>,
+    endpoints_examined: Cell<u64>,
     /// List entries since the start that were new or changed something.
-    // At the join: private, `entries_changed`.
-    pub(in crate::decision) touched: u64,
+    entries_changed: u64,
 }
 
 impl EndpointTable {
@@ -77,13 +73,12 @@
 
     /// How many endpoints are active.
     pub fn active_count(&self) -> usize {
-        self.ring.len()
+        self.active.len()
     }
 
     /// How many endpoints something is kept of.
-    #[allow(dead_code)] // Called from the join on.
     pub fn retained_count(&self) -> usize {
-        self.ring.len() + self.off.len()
+        self.active.len() + self.inactive.len()
     }
 
     /// How many attempts are in flight.
@@ -92,21 +87,19 @@
     }
 
     /// How many endpoints were examined for requests and ticks since the start.
-    #[allow(dead_code)] // Called from the join on.
     pub fn endpoints_examined(&self) -> u64 {
-        self.looked.get()
+        self.endpoints_examined.get()
     }
 
     /// How many list entries since the start were new or changed something.
-    #[allow(dead_code)] // Called from the join on.
     pub fn entries_changed(&self) -> u64 {
-        self.touched
+        self.entries_changed
     }
 
     /// The active endpoint at a position of the ring; positions beyond the last go round.
     pub fn at(&self, position: usize) -> &Endpoint {
         self.count_examined(1);
-        &self.slots[self.ring[position % self.ring.len()].slot]
+        &self.slots[self.active[position % self.active.len()].slot]
     }
 
     /// The endpoints with attempts in flight or a rate of responses, in the order of their ids.
@@ -170,25 +163,25 @@
             listed.sort_by_key(|endpoint| endpoint.entry.id);
         }
         let Some(first_id) = listed.first().map(|endpoint| endpoint.entry.id) else { return };
-        let first_changed = self.ring.partition_point(|active| active.id < first_id);
-        let old_ring = self.ring.split_off(first_changed);
+        let first_changed = self.active.partition_point(|active| active.id < first_id);
+        let old_ring = self.active.split_off(first_changed);
         let mut not_reached = &old_ring[..];
         for endpoint in listed {
             let reached = not_reached.iter().take_while(|active| active.id <= endpoint.entry.id).count();
             let (unchanged_and_this, later) = not_reached.split_at(reached);
-            self.ring.extend_from_slice(unchanged_and_this);
+            self.active.extend_from_slice(unchanged_and_this);
             not_reached = later;
             self.apply_next(endpoint, now, fleet_latency);
         }
-        self.ring.extend_from_slice(not_reached);
+        self.active.extend_from_slice(not_reached);
     }
 
     /// Entries that remove the endpoints which a sorted snapshot lacks.
     fn removed_by(&self, snapshot: &[ListedEndpoint]) -> Vec<ListedEndpoint> {
         let is_listed =
             |id: &EndpointId| snapshot.binary_search_by_key(id, |endpoint| endpoint.entry.id).is_ok();
-        let active = self.ring.iter().map(|active| active.slot);
-        let known = active.chain(self.off.values().copied()).map(|slot| &self.slots[slot]);
+        let active = self.active.iter().map(|active| active.slot);
+        let known = active.chain(self.inactive.values().copied()).map(|slot| &self.slots[slot]);
         let missing = known.filter(|endpoint| !is_listed(&endpoint.entry.id));
         let removal = |endpoint: &Endpoint| ListedEndpoint {
             entry: EndpointEntry { state: EndpointState::Removed, ..endpoint.entry.clone() },
@@ -208,18 +201,18 @@
             self.add_new(slot, listed, now, fleet_latency);
         }
         if self.slots[slot].is_active() {
-            self.ring.push(RingEntry { id, slot });
+            self.active.push(RingEntry { id, slot });
         } else {
-            self.off.insert(id, slot);
+            self.inactive.insert(id, slot);
         }
     }
 
     /// Takes an endpoint out of the ring, if that ends with it, or of the endpoints that are not active.
     fn take_from_index(&mut self, id: EndpointId) -> Option<usize> {
-        if let Some(last) = self.ring.pop_if(|last| last.id == id) {
+        if let Some(last) = self.active.pop_if(|last| last.id == id) {
             return Some(last.slot);
         }
-        self.off.remove(&id)
+        self.inactive.remove(&id)
     }
 
     /// A slot for a new endpoint.
@@ -232,7 +225,7 @@
 
     fn add_new(&mut self, slot: usize, listed: ListedEndpoint, now: Micros, fleet_latency: f64) {
         let entry = with_valid_weight(listed.entry);
-        self.touched += 1;
+        self.entries_changed += 1;
         self.insert_into_groups(&entry);
         self.slots[slot] = Endpoint::new(entry, listed.slow_start, fleet_latency, now);
     }
@@ -249,7 +242,7 @@
             return;
         }
         let old = std::mem::replace(&mut endpoint.entry, entry.clone());
-        self.touched += 1;
+        self.entries_changed += 1;
         if (old.zone, old.cell) != (entry.zone, entry.cell) {
             self.remove_from_groups(&old);
             self.insert_into_groups(&entry);
@@ -258,28 +251,27 @@
 
     /// Forgets removed endpoints without attempts in flight: endpoints are ever new, and what is kept of each
     /// would grow without end. Of a long list it forgets old traffic, too.
-    // At the join: `forget_removed`.
-    pub fn forget(&mut self, now: Micros) {
-        self.forget_removed();
-        self.forget_old_traffic(now);
+    pub fn forget_removed(&mut self, now: Micros) {
+        self.drop_removed();
+        self.drop_old_traffic(now);
     }
 
-    fn forget_removed(&mut self) {
+    fn drop_removed(&mut self) {
         let is_over = |endpoint: &Endpoint| {
             endpoint.entry.state == EndpointState::Removed && endpoint.in_flight.is_empty()
         };
         let over: Vec<usize> =
-            self.off.values().copied().filter(|&slot| is_over(&self.slots[slot])).collect();
+            self.inactive.values().copied().filter(|&slot| is_over(&self.slots[slot])).collect();
         for slot in over {
             let endpoint = std::mem::take(&mut self.slots[slot]);
             self.remove_from_groups(&endpoint.entry);
-            self.off.remove(&endpoint.entry.id);
+            self.inactive.remove(&endpoint.entry.id);
             self.with_traffic.remove(&endpoint.entry.id);
             self.free_slots.push(slot);
         }
     }
 
-    fn forget_old_traffic(&mut self, now: Micros) {
+    fn drop_old_traffic(&mut self, now: Micros) {
         if self.with_traffic.len() <= MIN_WITH_TRAFFIC {
             return;
         }
@@ -304,18 +296,18 @@
 
     /// The ring position of an endpoint, if it is active.
     fn position(&self, id: EndpointId) -> Option<usize> {
-        self.ring.binary_search_by_key(&id, |active| active.id).ok()
+        self.active.binary_search_by_key(&id, |active| active.id).ok()
     }
 
     fn slot(&self, id: EndpointId) -> Option<usize> {
         match self.position(id) {
-            Some(position) => Some(self.ring[position].slot),
-            None => self.off.get(&id).copied(),
+            Some(position) => Some(self.active[position].slot),
+            None => self.inactive.get(&id).copied(),
         }
     }
 
     fn count_examined(&self, endpoints: u64) {
-        self.looked.set(self.looked.get() + endpoints);
+        self.endpoints_examined.set(self.endpoints_examined.get() + endpoints);
     }
 }
 
--- a/src/decision/balancer/mod.rs
+++ b/src/decision/balancer/mod.rs
@@ -16,7 +16,9 @@
 mod subset;
 
 use super::estimators::RandomSource;
-use super::{EndpointEntry, EndpointId, EndpointUpdateKind, Idempotency, Micros, Outcome, Settings};
+use super::{
+    EndpointEntry, EndpointId, EndpointUpdateKind, Idempotency, Micros, Outcome, Settings, WorkCounters,
+};
 use cost::CostModel;
 use deduplication_group::DeduplicationGroup;
 use endpoint_table::{EndpointTable, ListedEndpoint};
@@ -78,22 +80,10 @@
     pub typical_response_time: Option<Micros>,
 }
 
-/// How much work was done since the start, to see that it does not grow with the fleet.
-#[allow(dead_code)] // Used from the join on.
-pub(super) struct WorkCounters {
-    /// Endpoints examined for requests and ticks.
-    pub endpoints_examined: u64,
-    /// Entries of the endpoint list that were new or changed something.
-    pub entries_changed: u64,
-}
-
 /// The endpoints, their health and load, and the selection among them.
 #[derive(Default)]
 pub(super) struct Balancer {
-    // At the join: private, `endpoints`.
-    pub servers: EndpointTable,
-    // Old name of `expected_latency()`, removed at the join.
-    pub latency: f64,
+    endpoints: EndpointTable,
     latency_estimator: LatencyEstimator,
     /// How attempts end over the fleet.
     fleet_failures: FailureShares,
@@ -104,13 +94,7 @@
 impl Balancer {
     /// A balancer that knows no endpoints yet.
     pub fn new(settings: &Settings) -> Self {
-        let latency_estimator = LatencyEstimator::default();
-        Balancer {
-            servers: EndpointTable::new(&settings.classes),
-            latency: latency_estimator.mean(),
-            latency_estimator,
-            ..Balancer::default()
-        }
+        Balancer { endpoints: EndpointTable::new(&settings.classes), ..Balancer::default() }
     }
 
     /// Applies an update of the endpoint list.
@@ -131,7 +115,7 @@
             .into_iter()
             .map(|entry| ListedEndpoint { entry, slow_start: self.slow_start.new_bucket(random) })
             .collect();
-        self.servers.apply(listed, is_snapshot, now, self.latency_estimator.mean());
+        self.endpoints.apply(listed, is_snapshot, now, self.latency_estimator.mean());
     }
 
     /// Selects the endpoint where an attempt should do best, if any may be sent it.
@@ -160,7 +144,7 @@
 
     fn subset(&self, settings: &Settings, now: Micros) -> Subset {
         let fleet_latency = self.latency_estimator.mean();
-        Subset::at(now, settings, &self.servers, |endpoint| {
+        Subset::at(now, settings, &self.endpoints, |endpoint| {
             warm_fraction(&settings.warm_up, endpoint, fleet_latency, now)
         })
     }
@@ -174,7 +158,7 @@
     ) -> Selector<'a> {
         let class = &settings.classes[request.class];
         let fleet_latency = self.latency_estimator.mean();
-        let endpoints = &self.servers;
+        let endpoints = &self.endpoints;
         Selector {
             settings,
             now,
@@ -206,21 +190,15 @@
 
     /// An attempt starts at the selected endpoint. None if the endpoint is not known any more.
     pub fn attempt_started(&mut self, selection: Selection, now: Micros) -> Option<Placement> {
-        let endpoint = self.servers.attempt_started(selection.endpoint, now)?;
+        let endpoint = self.endpoints.attempt_started(selection.endpoint, now)?;
         self.slow_start.charge(endpoint, selection.warm_fraction);
         Some(Placement { zone: endpoint.entry.zone, cell: endpoint.entry.cell })
     }
 
     /// Records how an attempt ended. None if the endpoint or the attempt is not known any more.
-    // At the join: without the settings.
-    pub fn attempt_ended(
-        &mut self,
-        _settings: &Settings,
-        now: Micros,
-        result: &AttemptResult,
-    ) -> Option<RecordedAttempt> {
+    pub fn attempt_ended(&mut self, now: Micros, result: &AttemptResult) -> Option<RecordedAttempt> {
         let latency_bound = self.latency_bound();
-        let endpoint = self.servers.attempt_ended(result.endpoint, result.sent_at)?;
+        let endpoint = self.endpoints.attempt_ended(result.endpoint, result.sent_at)?;
         let unanswered = is_unanswered(endpoint, result, latency_bound);
         for sample in failure_samples(result.class, result.plan, result.outcome, unanswered) {
             endpoint.failures.record(&sample, now);
@@ -231,7 +209,6 @@
         match result.outcome {
             Outcome::Ok => {
                 self.latency_estimator.observe(result.elapsed);
-                self.latency = self.latency_estimator.mean();
                 if has_typical_latency(endpoint, self.latency_estimator.mean()) {
                     typical_response_time = Some(result.elapsed);
                 }
@@ -255,7 +232,7 @@
     pub fn is_stuck(&self, endpoint: EndpointId, sent_at: Micros, now: Micros) -> bool {
         let latency_bound = self.latency_bound();
         let is_unavailable = self
-            .servers
+            .endpoints
             .get(endpoint)
             .is_some_and(|endpoint| endpoint.is_unresponsive(latency_bound, now) || endpoint.is_ejected(now));
         is_unavailable && now.saturating_sub(sent_at) as f64 > latency_bound
@@ -263,7 +240,7 @@
 
     /// Ejects an endpoint, unless it is ejected already.
     pub fn eject(&mut self, id: EndpointId, now: Micros) {
-        if let Some(endpoint) = self.servers.get_mut(id) {
+        if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.eject(now);
         }
     }
@@ -271,7 +248,7 @@
     /// Ejects all endpoints that are unresponsive.
     pub fn eject_unresponsive(&mut self, now: Micros) {
         let latency_bound = self.latency_bound();
-        let traffic = self.servers.with_traffic();
+        let traffic = self.endpoints.with_traffic();
         let unresponsive: Vec<EndpointId> = traffic
             .filter(|endpoint| endpoint.is_unresponsive(latency_bound, now))
             .map(|endpoint| endpoint.entry.id)
@@ -282,7 +259,6 @@
     }
 
     /// The mean response time of the fleet in microseconds.
-    #[allow(dead_code)] // Called from the join on.
     pub fn expected_latency(&self) -> f64 {
         self.latency_estimator.mean()
     }
@@ -297,7 +273,7 @@
     pub fn typical_endpoints(&self, now: Micros) -> impl Iterator<Item = &Endpoint> {
         let fleet_latency = self.latency_estimator.mean();
         let latency_bound = self.latency_bound();
-        self.servers.with_traffic().filter(move |endpoint| {
+        self.endpoints.with_traffic().filter(move |endpoint| {
             endpoint.is_active()
                 && endpoint.consecutive_failures == 0
                 && has_typical_latency(endpoint, fleet_latency)
@@ -306,47 +282,22 @@
     }
 
     /// Forgets removed endpoints without attempts in flight, and old traffic.
-    #[allow(dead_code)] // Called from the join on.
     pub fn forget_removed(&mut self, now: Micros) {
-        self.servers.forget(now);
+        self.endpoints.forget_removed(now);
     }
 
     /// How many endpoints something is kept of.
-    #[allow(dead_code)] // Called from the join on.
     pub fn retained_endpoints(&self) -> usize {
-        self.servers.retained_count()
+        self.endpoints.retained_count()
     }
 
     /// How much work was done since the start.
-    #[allow(dead_code)] // Called from the join on.
     pub fn work_counters(&self) -> WorkCounters {
         WorkCounters {
-            endpoints_examined: self.servers.endpoints_examined(),
-            entries_changed: self.servers.entries_changed(),
+            endpoints_examined: self.endpoints.endpoints_examined(),
+            entries_changed: self.endpoints.entries_changed(),
         }
     }
-
-    // Old name, removed at the join.
-    pub fn update(&mut self, snapshot: bool, entries: Vec<EndpointEntry>, now: Micros, random: &mut u64) {
-        let kind = if snapshot { EndpointUpdateKind::Snapshot } else { EndpointUpdateKind::Delta };
-        RandomSource::with_state(random, |random| self.apply_update(kind, entries, now, random));
-    }
-
-    // Old name, removed at the join.
-    pub fn choose(
-        &mut self,
-        settings: &Settings,
-        now: Micros,
-        random: &mut u64,
-        wanted: &SelectionRequest,
-    ) -> Option<Selection> {
-        RandomSource::with_state(random, |random| self.select(settings, now, random, wanted))
-    }
-
-    // Old name, removed at the join.
-    pub fn eject_silent(&mut self, now: Micros) {
-        self.eject_unresponsive(now);
-    }
 }
 
 /// Whether an endpoint is about as fast as the fleet, whose mean response time is given.
--- a/src/decision/estimators/decaying_mean.rs
+++ b/src/decision/estimators/decaying_mean.rs
@@ -28,14 +28,4 @@
     pub fn weight(&self, now: Micros, time_constant: f64) -> f64 {
         self.weight.per_second(now, time_constant)
     }
-
-    // Old name, removed at the join.
-    pub fn add(&mut self, now: Micros, value: f64, span: f64) {
-        self.record(now, value, span);
-    }
-
-    // Old name, removed at the join.
-    pub fn mean(&self, now: Micros, prior: f64, span: f64) -> f64 {
-        self.with_prior(now, prior, span)
-    }
 }
--- a/src/decision/estimators/decaying_rate.rs
+++ b/src/decision/estimators/decaying_rate.rs
@@ -22,14 +22,4 @@
         self.per_second = self.per_second(now, time_constant) + amount * MICROS_PER_SECOND / time_constant;
         self.recorded_at = now;
     }
-
-    // Old name, removed at the join.
-    pub fn get(&self, now: Micros, span: f64) -> f64 {
-        self.per_second(now, span)
-    }
-
-    // Old name, removed at the join.
-    pub fn add(&mut self, now: Micros, amount: f64, span: f64) {
-        self.record(now, amount, span);
-    }
 }
--- a/src/decision/estimators/random.rs
+++ b/src/decision/estimators/random.rs
@@ -32,25 +32,4 @@
     pub fn exponential(&mut self) -> f64 {
         -(1.0 - self.uniform()).ln()
     }
-
-    // For callers that still hold the bare state, removed at the join.
-    pub fn with_state<T>(state: &mut u64, draw: impl FnOnce(&mut RandomSource) -> T) -> T {
-        let mut source = RandomSource::from_seed(*state);
-        let drawn = draw(&mut source);
-        *state = source.state;
-        drawn
-    }
-}
-
-// Old name, removed at the join.
-pub(in crate::decision) const GOLDEN: u64 = SPLITMIX64_INCREMENT;
-
-// Old name, removed at the join.
-pub(in crate::decision) fn mix(value: u64) -> u64 {
-    splitmix64_finalize(value)
-}
-
-// Old name, removed at the join.
-pub(in crate::decision) fn uniform(state: &mut u64) -> f64 {
-    RandomSource::with_state(state, RandomSource::uniform)
 }
--- a/src/decision/estimators/token_bucket.rs
+++ b/src/decision/estimators/token_bucket.rs
@@ -33,26 +33,13 @@
         self.tokens -= amount;
     }
 
+    /// Takes `amount` tokens, or all if the bucket holds less.
+    pub fn take_up_to(&mut self, amount: f64) {
+        self.tokens = (self.tokens - amount).max(0.0);
+    }
+
     /// The tokens as of the latest refill.
-    #[allow(dead_code)] // Called from the join on.
     pub fn tokens(&self) -> f64 {
         self.tokens
     }
 }
-
-// Old name, removed at the join.
-#[derive(Clone, Copy, Default)]
-pub(in crate::decision) struct Bucket {
-    pub store: f64,
-    pub at: Micros,
-}
-
-impl Bucket {
-    // Old name, removed at the join.
-    pub fn refill(&mut self, now: Micros, rate: f64, most: f64) {
-        let mut bucket = TokenBucket::new(self.store, self.at);
-        bucket.refill(now, rate, most);
-        self.store = bucket.tokens;
-        self.at = bucket.refilled_at;
-    }
-}
--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -22,10 +22,6 @@
 pub(super) const LEAST_SHED_THRESHOLD: f64 = 0.25;
 pub(super) const GREATEST_SHED_THRESHOLD: f64 = 0.48;
 
-// Old names, removed at the join.
-pub(super) const SHED_CHEAPEST: f64 = LEAST_SHED_THRESHOLD;
-pub(super) const SHED_DEAREST: f64 = GREATEST_SHED_THRESHOLD;
-
 /// Judges overload by attempts in flight and response times at endpoints that are in order.
 #[derive(Default)]
 pub(super) struct LoadShedder {
@@ -116,22 +112,6 @@
     fn relative_age(&self, now: Micros) -> f64 {
         1.0 - (-(now.saturating_sub(self.started_at) as f64) / COMPLETION_TIME_CONSTANT).exp()
     }
-
-    // Old name, removed at the join.
-    pub fn expected(&self, settings: &Settings, balancer: &Balancer, now: Micros) -> f64 {
-        self.expected_response_time(settings, balancer, now)
-    }
-
-    // Old name, removed at the join.
-    pub fn overloaded(
-        &self,
-        settings: &Settings,
-        balancer: &Balancer,
-        new: &NewRequest,
-        now: Micros,
-    ) -> Option<Micros> {
-        self.time_until_admission(settings, balancer, new, now)
-    }
 }
 
 /// The shortest latency objective of all classes, in microseconds.
@@ -139,11 +119,6 @@
     settings.classes.iter().map(|class| class.latency_objective).min().unwrap_or(0) as f64
 }
 
-// Old name, removed at the join.
-pub(super) fn shortest_aim(settings: &Settings) -> f64 {
-    shortest_latency_objective(settings)
-}
-
 /// The share of the latency objective from which on a request is shed, by its weight relative to the
 /// greatest. None if its plan is not in the settings.
 fn shed_threshold(settings: &Settings, request: &NewRequest) -> Option<f64> {
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -32,6 +32,7 @@
 use attempts::{PendingRequests, RetryBudget};
 use balancer::Balancer;
 use deferral::DeferralSchedule;
+use estimators::RandomSource;
 use load_shedding::LoadShedder;
 use quota::{CounterReply, QuotaLedger};
 
@@ -43,8 +44,8 @@
 /// The decisions of one node.
 pub struct DecisionEngine {
     settings: Settings,
-    /// State of the node's seeded random numbers.
-    random: u64,
+    /// The node's seeded random numbers.
+    random: RandomSource,
     /// The time of the latest event.
     now: Micros,
     /// The first event has come, and with it the timer of the housekeeping was set.
@@ -83,7 +84,7 @@
     /// A node at its start. It knows no endpoints until the first list comes.
     pub fn new(seed: u64, settings: Settings) -> Self {
         DecisionEngine {
-            random: seed,
+            random: RandomSource::from_seed(seed),
             now: 0,
             has_started: false,
             swept_at: 0,
@@ -128,17 +129,15 @@
 
     /// How many accounts and endpoints the node keeps state of.
     pub fn retained_entries(&self) -> RetainedEntries {
-        let table = &self.balancer.servers;
         RetainedEntries {
             accounts: self.quota.account_count(),
-            endpoints: table.ring.len() + table.off.len(),
+            endpoints: self.balancer.retained_endpoints(),
         }
     }
 
     /// The work done since the start.
     pub fn work_counters(&self) -> WorkCounters {
-        let table = &self.balancer.servers;
-        WorkCounters { endpoints_examined: table.looked.get(), entries_changed: table.touched }
+        self.balancer.work_counters()
     }
 
     /// [`Self::retained_entries`] as a pair, for callers that have not moved yet.
@@ -174,8 +173,7 @@
         if kind == EndpointUpdateKind::WatchLost {
             return;
         }
-        let is_snapshot = kind != EndpointUpdateKind::Delta;
-        self.balancer.update(is_snapshot, entries, self.now, &mut self.random);
+        self.balancer.apply_update(kind, entries, self.now, &mut self.random);
         self.forget_unneeded();
     }
 
@@ -213,7 +211,7 @@
         self.load_shedder.on_tick(&self.balancer, self.now);
         self.dispatch_waiting_requests(actions);
         self.cancel_stuck_attempts(actions);
-        self.balancer.eject_silent(self.now);
+        self.balancer.eject_unresponsive(self.now);
         if self.now >= self.swept_at + SWEEP_INTERVAL {
             self.sweep(actions);
         }
@@ -246,7 +244,7 @@
 
     /// Forgets endpoints and accounts that nothing has to be known of any more.
     fn forget_unneeded(&mut self) {
-        self.balancer.servers.forget(self.now);
+        self.balancer.forget_removed(self.now);
         self.quota.forget_idle_accounts(&self.settings, self.now);
         self.deferrals.retain_accounts(|account| self.quota.contains(account));
     }
--- a/src/decision/quota/account.rs
+++ b/src/decision/quota/account.rs
@@ -6,7 +6,7 @@
 use super::counter_window::COUNTER_LIFETIME;
 use super::demand::Demand;
 use super::fleet_bucket::FleetBucket;
-use crate::decision::estimators::{Bucket, Tally};
+use crate::decision::estimators::{DecayingMean, TokenBucket};
 use crate::decision::{Micros, Plan, RequestId};
 
 /// An account is kept for at least this long after its latest request.
@@ -34,7 +34,7 @@
     /// What is requested and drawn here.
     pub demand: Demand,
     /// Share of the counter's replies to a lease that found the bucket short.
-    pub shortage: Tally,
+    pub shortage: DecayingMean,
     /// How many requests that no call asked for the next call represents.
     pub sampling_weight: f64,
     /// The call to the counter that is in flight: one at a time.
@@ -44,7 +44,7 @@
     /// Units admitted without the counter that no call has reported yet.
     pub unreported_units: f64,
     /// This node's even share of the quota, while the counter gives no answer.
-    pub even_share: Option<Bucket>,
+    pub even_share: Option<TokenBucket>,
     pub attempts_in_flight: u32,
     pub last_request_at: Micros,
 }
--- a/src/decision/quota/counter_health.rs
+++ b/src/decision/quota/counter_health.rs
@@ -1,7 +1,7 @@
 //! How well the counter service answers: the pause after failures and the share of requests that ask it.
 
 use super::counter_calls::{CounterCall, CounterReply};
-use crate::decision::estimators::uniform;
+use crate::decision::estimators::RandomSource;
 use crate::decision::{Micros, Settings};
 
 /// The pause after a failed call: it doubles from the first to the longest.
@@ -54,7 +54,7 @@
         &mut self,
         settings: &Settings,
         now: Micros,
-        random: &mut u64,
+        random: &mut RandomSource,
         call: &CounterCall,
         reply: CounterReply,
     ) {
@@ -83,8 +83,8 @@
 
     /// Lets a silent or overloaded service recover. The random half of the pause keeps the nodes from coming
     /// back in step.
-    fn pause(&mut self, now: Micros, random: &mut u64) {
-        let jitter = (uniform(random) * self.backoff as f64 / 2.0) as Micros;
+    fn pause(&mut self, now: Micros, random: &mut RandomSource) {
+        let jitter = (random.uniform() * self.backoff as f64 / 2.0) as Micros;
         self.paused_until = now + self.backoff / 2 + jitter;
         self.backoff = (self.backoff * 2).min(LONGEST_BACKOFF);
     }
--- a/src/decision/quota/counter_window.rs
+++ b/src/decision/quota/counter_window.rs
@@ -1,6 +1,6 @@
 //! The windows of an account's counter: each window has a counter of its own at the counter service.
 
-use crate::decision::estimators::{mix, GOLDEN};
+use crate::decision::estimators::{splitmix64_finalize, SPLITMIX64_INCREMENT};
 use crate::decision::{AccountId, CounterKey, Micros};
 
 /// How long a window lasts: long against the time in which a burst refills, and within [`COUNTER_LIFETIME`].
@@ -28,11 +28,13 @@
 
     /// The key of the window's counter.
     pub fn key(self) -> CounterKey {
-        CounterKey(mix(mix(self.account.0) ^ self.number.wrapping_mul(GOLDEN)) >> 1)
+        let account_bits = splitmix64_finalize(self.account.0);
+        let number_bits = self.number.wrapping_mul(SPLITMIX64_INCREMENT);
+        CounterKey(splitmix64_finalize(account_bits ^ number_bits) >> 1)
     }
 }
 
 /// By how much an account's windows begin early. Without it all accounts would change counters at once.
 fn stagger(account: AccountId) -> Micros {
-    mix(account.0) % WINDOW_LENGTH
+    splitmix64_finalize(account.0) % WINDOW_LENGTH
 }
--- a/src/decision/quota/demand.rs
+++ b/src/decision/quota/demand.rs
@@ -1,6 +1,6 @@
 //! The demand of an account at this node: what its clients request, and what of it is drawn from its quota.
 
-use crate::decision::estimators::Rate;
+use crate::decision::estimators::DecayingRate;
 use crate::decision::Micros;
 
 /// Smoothing of an account's rates, in microseconds: a few requests of a busy account, less than a spike
@@ -12,8 +12,8 @@
 /// Rates are in units per second.
 #[derive(Default)]
 pub(super) struct Demand {
-    requested: Rate,
-    drawn: Rate,
+    requested: DecayingRate,
+    drawn: DecayingRate,
     /// Mean of the units of a request.
     pub mean_units: f64,
 }
@@ -26,20 +26,20 @@
 
     /// A client requests units.
     pub fn record_request(&mut self, units: f64, now: Micros) {
-        self.requested.add(now, units, RATE_SPAN);
+        self.requested.record(now, units, RATE_SPAN);
         self.mean_units += (units - self.mean_units) * MEAN_UNITS_GAIN;
     }
 
     /// Units are drawn for a request.
     pub fn record_draw(&mut self, units: f64, now: Micros) {
-        self.drawn.add(now, units, RATE_SPAN);
+        self.drawn.record(now, units, RATE_SPAN);
     }
 
     pub fn requested_rate(&self, now: Micros) -> f64 {
-        self.requested.get(now, RATE_SPAN)
+        self.requested.per_second(now, RATE_SPAN)
     }
 
     pub fn drawn_rate(&self, now: Micros) -> f64 {
-        self.drawn.get(now, RATE_SPAN)
+        self.drawn.per_second(now, RATE_SPAN)
     }
 }
--- a/src/decision/quota/even_share.rs
+++ b/src/decision/quota/even_share.rs
@@ -1,7 +1,7 @@
 //! The even share: while the counter gives no answer, each node admits its part of the quota by itself.
 
 use super::account::Account;
-use crate::decision::estimators::Bucket;
+use crate::decision::estimators::TokenBucket;
 use crate::decision::{Micros, Plan};
 
 /// What a node that has seen no total starts with, as a share of its part of the bucket.
@@ -13,13 +13,13 @@
     let part = 1.0 / account.node_count;
     let trust = if account.bucket.is_known() { 1.0 } else { INITIAL_SHARE_WITHOUT_TOTAL };
     let initial = bucket_level.max(0.0) * part * trust;
-    let share = account.even_share.get_or_insert(Bucket { store: initial, at: now });
+    let share = account.even_share.get_or_insert(TokenBucket::new(initial, now));
     share.refill(now, plan.quota_units_per_second * part, plan.burst_units * part);
 }
 
 /// Whether the lease and the even share together cover the units.
 pub(super) fn covers(account: &Account, units: f64) -> bool {
-    account.lease + account.even_share.map_or(0.0, |share| share.store) >= units
+    account.lease + account.even_share.map_or(0.0, |share| share.tokens()) >= units
 }
 
 /// Admits units without the counter: off the lease, off the even share as far as it goes, and the rest on
@@ -28,7 +28,7 @@
     let unleased_units = units - account.lease.max(0.0);
     account.lease = 0.0;
     if let Some(share) = &mut account.even_share {
-        share.store = (share.store - unleased_units).max(0.0);
+        share.take_up_to(unleased_units);
     }
     account.unreported_units += unleased_units;
     account.demand.record_draw(units, now);
--- a/src/decision/quota/fleet_bucket.rs
+++ b/src/decision/quota/fleet_bucket.rs
@@ -9,7 +9,7 @@
 use super::counter_calls::CounterCall;
 use super::counter_window::CounterWindow;
 use super::demand::RATE_SPAN;
-use crate::decision::estimators::Rate;
+use crate::decision::estimators::DecayingRate;
 use crate::decision::{Micros, Plan};
 
 /// The counter's total as it was last seen.
@@ -28,7 +28,7 @@
     /// None before the counter's first reply.
     last_total: Option<SeenTotal>,
     /// What other nodes draw, in units per second.
-    drawn_elsewhere: Rate,
+    drawn_elsewhere: DecayingRate,
 }
 
 /// What a total showed about the bucket.
@@ -78,7 +78,7 @@
 
     /// What other nodes draw, in units per second.
     pub fn draw_rate_elsewhere(&self, now: Micros) -> f64 {
-        self.drawn_elsewhere.get(now, RATE_SPAN)
+        self.drawn_elsewhere.per_second(now, RATE_SPAN)
     }
 
     /// The level now, if the other nodes go on drawing as they did.
@@ -99,7 +99,7 @@
     ) -> Observation {
         let change = self.compare_totals(plan, window, call, total);
         let drawn_elsewhere = (change.growth - call.lease_units - call.reported_units).max(0.0);
-        self.drawn_elsewhere.add(now, drawn_elsewhere, RATE_SPAN);
+        self.drawn_elsewhere.record(now, drawn_elsewhere, RATE_SPAN);
         let level_by_total = plan.burst_units
             + plan.quota_units_per_second * seconds_between(window.started_at(), now)
             - total;
--- a/src/decision/quota/mod.rs
+++ b/src/decision/quota/mod.rs
@@ -26,6 +26,7 @@
 
 use std::collections::BTreeMap;
 
+use super::estimators::RandomSource;
 use super::{AccountId, Action, Micros, NewRequest, RequestId, Settings};
 use account::Account;
 use counter_calls::{CounterCalls, Increment};
@@ -115,7 +116,7 @@
         &mut self,
         settings: &Settings,
         now: Micros,
-        random: &mut u64,
+        random: &mut RandomSource,
         request: &QuotaRequest<'_>,
         fleet_load: impl FnOnce() -> f64,
         actions: &mut Vec<Action>,
--- a/src/decision/quota/replies.rs
+++ b/src/decision/quota/replies.rs
@@ -4,6 +4,7 @@
 use super::counter_window::CounterWindow;
 use super::reconciliation::{apply_total, resolve_unknown_outcome, Correction};
 use super::{lease, QuotaLedger};
+use crate::decision::estimators::RandomSource;
 use crate::decision::{AccountId, Action, CounterKey, Micros, Settings};
 
 /// Excess of at most this many units does not justify a call.
@@ -15,7 +16,7 @@
         &mut self,
         settings: &Settings,
         now: Micros,
-        random: &mut u64,
+        random: &mut RandomSource,
         key: CounterKey,
         reply: CounterReply,
         actions: &mut Vec<Action>,
--- a/src/decision/quota/speculation.rs
+++ b/src/decision/quota/speculation.rs
@@ -9,7 +9,7 @@
 
 use super::account::Account;
 use super::request::{QuotaRequest, QuotaTurn};
-use crate::decision::estimators::{uniform, Tally};
+use crate::decision::estimators::{DecayingMean, RandomSource};
 use crate::decision::{Micros, Settings};
 
 /// How long the counter's replies are remembered as evidence, in microseconds.
@@ -53,7 +53,7 @@
     balance: f64,
     mean_value_of_asking: f64,
     /// By plan, the share of the counter's replies that found a bucket short.
-    shortage_by_plan: BTreeMap<usize, Tally>,
+    shortage_by_plan: BTreeMap<usize, DecayingMean>,
 }
 
 impl Speculation {
@@ -75,8 +75,8 @@
     /// Records whether the counter's reply to a lease found the bucket short.
     pub fn record_reply(&mut self, account: &mut Account, was_short: bool, now: Micros) {
         let sample = if was_short { 1.0 } else { 0.0 };
-        account.shortage.add(now, sample, EVIDENCE_SPAN);
-        self.shortage_by_plan.entry(account.plan).or_default().add(now, sample, EVIDENCE_SPAN);
+        account.shortage.record(now, sample, EVIDENCE_SPAN);
+        self.shortage_by_plan.entry(account.plan).or_default().record(now, sample, EVIDENCE_SPAN);
     }
 
     /// Assesses a request; `fleet_load` is 0 in an idle fleet and 1 in a full one.
@@ -149,14 +149,14 @@
         let prior = self
             .shortage_by_plan
             .get(&account.plan)
-            .map_or(SHORTAGE_PRIOR, |shortage| shortage.mean(now, SHORTAGE_PRIOR, EVIDENCE_SPAN));
-        account.shortage.mean(now, prior, EVIDENCE_SPAN)
+            .map_or(SHORTAGE_PRIOR, |shortage| shortage.with_prior(now, SHORTAGE_PRIOR, EVIDENCE_SPAN));
+        account.shortage.with_prior(now, prior, EVIDENCE_SPAN)
     }
 }
 
 /// Draws whether the counter is asked.
-pub(super) fn draw_ask(ask: &AskProbability, random: &mut u64) -> bool {
-    uniform(random) < ask.probability
+pub(super) fn draw_ask(ask: &AskProbability, random: &mut RandomSource) -> bool {
+    random.uniform() < ask.probability
 }
 
 /// The greatest value of a unit, over all classes and plans.
