--- a/crates/scale-bench/src/fleet/world.rs
+++ b/crates/scale-bench/src/fleet/world.rs
@@ -145,7 +145,7 @@
 
     /// By node, how many endpoints it knows.
     pub fn endpoints_known_by_node(&self) -> Vec<f64> {
-        self.nodes.iter().map(|node| node.engine.kept().1 as f64).collect()
+        self.nodes.iter().map(|node| node.engine.retained_entries().endpoints as f64).collect()
     }
 
     /// By node, how many endpoints it sent to in the measured time.
