--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -7,8 +7,10 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use fakes::{ask, config, entry, next_of, App, Ask, Client, Counts, Edge, Lists, Seen, PATIENCE};
-use serde_json::json;
+use fakes::{
+    active, endpoint_entry, next_request_at_any, paid_request, request, Client, EdgeProcess, FakeCounter,
+    FakeDiscovery, FakeEndpoint, NodeConfiguration, ReceivedRequest, RequestSpec, TEST_TIMEOUT,
+};
 use tokio::net::TcpSocket;
 
 /// A time limit longer than any test takes.
@@ -17,59 +19,57 @@
 
 /// A client whose request is in progress at the node. Two clients ask under one id, in no certain order; the node
 /// rejects the request that it reads second.
-fn client_in_progress(edge: &Edge, request: &Ask) -> Client {
-    let mut rejected = edge.client();
-    let mut accepted = edge.client();
-    rejected.ask(request);
-    accepted.ask(request);
-    let until = Instant::now() + PATIENCE;
-    while !rejected.has_answer() {
+fn client_in_progress(edge: &EdgeProcess, request: &RequestSpec) -> Client {
+    let mut rejected = edge.connect();
+    let mut accepted = edge.connect();
+    rejected.send(request);
+    accepted.send(request);
+    let until = Instant::now() + TEST_TIMEOUT;
+    while !rejected.has_response() {
         assert!(Instant::now() < until, "neither of two requests under one id is rejected");
         swap(&mut rejected, &mut accepted);
     }
-    assert_eq!(rejected.answer().status(), 409);
+    assert_eq!(rejected.response().status(), 409);
     accepted
 }
 
 /// Closes the client's side and waits until the node has noticed: until it has closed its side, too.
 fn disconnect(mut client: Client) {
-    client.half_close();
-    assert_eq!(client.rest(), "");
+    client.close_write_half();
+    assert_eq!(client.read_to_end(), "");
 }
 
 /// Asks under the id of a client that has disconnected. The id must be free, or this request is rejected.
-fn ask_again(edge: &Edge, request: &Ask) -> Client {
-    let mut client = edge.client();
-    client.ask(request);
+fn ask_again(edge: &EdgeProcess, request: &RequestSpec) -> Client {
+    let mut client = edge.connect();
+    client.send(request);
     client
 }
 
-fn without_time_limit(class: &'static str, id: &str) -> Ask {
-    Ask { deadline_ms: UNLIMITED_MS, ..ask(class, id) }
+fn without_time_limit(class: &'static str, id: &str) -> RequestSpec {
+    RequestSpec { deadline_ms: UNLIMITED_MS, ..request(class, id) }
 }
 
 #[test]
 fn a_client_that_disconnects_behind_bytes_of_a_further_request_is_noticed() {
     // The end of its connection is behind bytes that the node does not read before the response.
     for bytes_behind in [0, 30, 60_000] {
-        let endpoint = App::new();
-        let counter = Counts::new();
-        let mut config = config(&[entry("s-1", endpoint.address, "a", "up")]);
-        config["counter"] = json!(counter.address.to_string());
-        config["settings"]["domain"]["count_wait"] = json!(30_000_000);
-        let edge = Edge::new(&config);
-        let request = Ask { plan: "paid", ..ask("post", "p-1") };
-        let mut first = edge.client();
-        first.raw(&format!("{}{}", request.text(), "x".repeat(bytes_behind)));
-        let mut increment = counter.next();
+        let endpoint = FakeEndpoint::start();
+        let counter = FakeCounter::start();
+        let configuration = NodeConfiguration::new(&[active("s-1", endpoint.address)]);
+        let edge = configuration.counter(counter.address).counter_timeout(30_000_000).start();
+        let request = paid_request("post", "p-1");
+        let mut first = edge.connect();
+        first.send_raw(&format!("{}{}", request.text(), "x".repeat(bytes_behind)));
+        let mut increment = counter.next_call();
         disconnect(first);
         let mut second = ask_again(&edge, &request);
-        increment.total(increment.amount);
+        increment.reply_total(increment.amount);
         // One request arrives, and it is the second client's.
-        endpoint.next().answer("200 OK", "", "second");
-        assert_eq!(second.answer().body, b"second");
+        endpoint.next_request().respond_ok("second");
+        assert_eq!(second.response().body, b"second");
         drop(edge);
-        endpoint.no_request_to_the_end();
+        endpoint.assert_no_request_until_node_ended();
     }
 }
 
@@ -77,163 +77,158 @@
 fn a_request_that_waits_for_a_connection_is_not_sent_once_its_client_has_disconnected() {
     // A connection that comes up late: the kernel drops the handshakes beyond a full backlog.
     let full_endpoint = FullEndpoint::new();
-    let mut config = config(&[entry("s-1", full_endpoint.address, "a", "up")]);
-    config["settings"]["bounds"]["connect_timeout"] = json!(UNLIMITED_CONNECT_MICROS);
-    let edge = Edge::new(&config);
+    let configuration = NodeConfiguration::new(&[active("s-1", full_endpoint.address)]);
+    let edge = configuration.connect_timeout(UNLIMITED_CONNECT_MICROS).start();
     let request = without_time_limit("post", "p-1");
     disconnect(client_in_progress(&edge, &request));
     let mut second = ask_again(&edge, &request);
     // Only now does a connection come up. The request on it is the second client's.
     let endpoint = full_endpoint.accept_all();
-    endpoint.next().answer("200 OK", "", "second");
-    assert_eq!(second.answer().body, b"second");
+    endpoint.next_request().respond_ok("second");
+    assert_eq!(second.response().body, b"second");
     drop(edge);
-    endpoint.no_request_to_the_end();
+    endpoint.assert_no_request_until_node_ended();
 }
 
 #[test]
 fn no_further_attempt_begins_for_a_disconnected_client_whatever_is_behind_its_request() {
     let nothing = String::new();
-    let complete_request = ask("lookup", "behind").text();
-    let partial_request = ask("post", "behind").text()[..40].to_string();
+    let complete_request = request("lookup", "behind").text();
+    let partial_request = request("post", "behind").text()[..40].to_string();
     for (row, behind) in [nothing, complete_request, partial_request].into_iter().enumerate() {
-        let endpoints = [App::new(), App::new()];
-        let entries =
-            [entry("s-1", endpoints[0].address, "a", "up"), entry("s-2", endpoints[1].address, "a", "up")];
-        let next_request = || next_of(&[&endpoints[0], &endpoints[1]]).1;
-        let mut config = config(&entries);
+        let endpoints = [FakeEndpoint::start(), FakeEndpoint::start()];
+        let entries = [active("s-1", endpoints[0].address), active("s-2", endpoints[1].address)];
+        let next_request = || next_request_at_any(&[&endpoints[0], &endpoints[1]]).request;
         // On a busy machine the test may respond later than endpoints usually do, and a request that is safe to repeat
         // would get a second attempt for that while its client is still connected.
-        config["settings"]["bounds"]["cancel"] = json!(false);
-        let edge = Edge::new(&config);
-        let mut client = edge.client();
-        client.raw(&format!("{}{behind}", ask("lookup", "first").text()));
+        let edge = NodeConfiguration::new(&entries).without_cancellation().start();
+        let mut client = edge.connect();
+        client.send_raw(&format!("{}{behind}", request("lookup", "first").text()));
         let first = next_request();
         disconnect(client);
         // The request did not run, so for a connected client it would go to the other endpoint.
-        first.answer("503 Service Unavailable", "X-Not-Run: 1\r\n", "");
-        let mut other_client = edge.client();
+        first.respond("503 Service Unavailable", "X-Not-Run: 1\r\n", "");
+        let mut other_client = edge.connect();
         for turn in 0..4 {
             let id = format!("later-{turn}");
-            other_client.ask(&ask("lookup", &id));
+            other_client.send(&request("lookup", &id));
             let request = next_request();
-            assert_eq!(request.id(), id, "row {row}");
-            request.answer("200 OK", "", "ok");
-            assert_eq!(other_client.answer().status(), 200);
+            assert_eq!(request.request_id(), id, "row {row}");
+            request.respond_ok("ok");
+            assert_eq!(other_client.response().status(), 200);
         }
         drop(edge);
         for endpoint in endpoints {
-            endpoint.no_request_to_the_end();
+            endpoint.assert_no_request_until_node_ended();
         }
     }
 }
 
 #[test]
 fn a_request_that_waits_for_a_descriptor_is_not_sent_once_its_client_has_disconnected() {
-    let old_endpoint = App::new();
-    let new_endpoint = App::new();
-    let discovery = Lists::new();
-    let mut config = config(&[entry("s-1", old_endpoint.address, "a", "up")]);
-    config["discovery"] = json!(discovery.address.to_string());
-    config["settings"]["bounds"]["connect_timeout"] = json!(UNLIMITED_CONNECT_MICROS);
+    let old_endpoint = FakeEndpoint::start();
+    let new_endpoint = FakeEndpoint::start();
+    let discovery = FakeDiscovery::start();
     // Descriptors for sixteen connections, nine of them for clients.
-    config["limits"]["sockets"] = json!(40);
-    let edge = Edge::new(&config);
+    let edge = NodeConfiguration::new(&[active("s-1", old_endpoint.address)])
+        .discovery(discovery.address)
+        .connect_timeout(UNLIMITED_CONNECT_MICROS)
+        .descriptors(40)
+        .start();
     // An attempt in flight goes on without its client, and holds a descriptor.
     let mut in_flight = Vec::new();
     for number in 0..13 {
-        let mut client = edge.client();
-        client.ask(&without_time_limit("lookup", &format!("held-{number}")));
-        in_flight.push(old_endpoint.next());
+        let mut client = edge.connect();
+        client.send(&without_time_limit("lookup", &format!("held-{number}")));
+        in_flight.push(old_endpoint.next_request());
         disconnect(client);
     }
-    discovery.push(entry("s-2", new_endpoint.address, "a", "up"));
-    discovery.push(entry("s-1", old_endpoint.address, "a", "draining"));
+    discovery.publish(active("s-2", new_endpoint.address));
+    discovery.publish(endpoint_entry("s-1", old_endpoint.address, "a", "draining"));
     // Two clients take the next two descriptors, and the listener keeps the last for the next one: both connections have
     // arrived before the first one's request is read. Neither client is ever idle, which would free a descriptor for its
     // attempt.
     let first_request = without_time_limit("post", "first").text();
     let second_request = without_time_limit("post", "second").text();
     let both_requests = format!("{first_request}{second_request}");
-    let [first, mut second] = edge.clients_that_have_sent([first_request, both_requests]);
-    assert_eq!(second.answer().status(), 409, "the first client's request is in progress");
+    let [first, mut second] = edge.connect_having_sent([first_request, both_requests]);
+    assert_eq!(second.response().status(), 409, "the first client's request is in progress");
     disconnect(first);
     // Its descriptor comes free, and the attempt behind its own gets it.
-    let request = new_endpoint.next();
-    assert_eq!(request.id(), "second");
-    request.answer("200 OK", "", "second");
-    assert_eq!(second.answer().body, b"second");
+    let request = new_endpoint.next_request();
+    assert_eq!(request.request_id(), "second");
+    request.respond_ok("second");
+    assert_eq!(second.response().body, b"second");
     drop(edge);
-    new_endpoint.no_request_to_the_end();
+    new_endpoint.assert_no_request_until_node_ended();
 }
 
 #[test]
 fn a_request_that_was_in_the_backlog_when_its_client_disconnected_is_not_sent() {
     // Bytes behind the request hide the end of the connection from a task that waits to read it.
     for behind in ["", "POST /post"] {
-        let endpoint = App::new();
-        let mut config = config(&[entry("s-1", endpoint.address, "a", "up")]);
-        config["settings"]["bounds"]["connect_timeout"] = json!(UNLIMITED_CONNECT_MICROS);
-        config["limits"]["sockets"] = json!(40);
-        let edge = Edge::new(&config);
+        let endpoint = FakeEndpoint::start();
+        let edge = NodeConfiguration::new(&[active("s-1", endpoint.address)])
+            .connect_timeout(UNLIMITED_CONNECT_MICROS)
+            .descriptors(40)
+            .start();
         let texts = from_fn(|number| without_time_limit("post", &format!("p-{number}")).text());
-        let mut busy_clients: [Client; 9] = edge.clients_that_have_sent(texts);
-        let in_flight: Vec<Seen> = (0..7).map(|_| endpoint.next()).collect();
+        let mut busy_clients: [Client; 9] = edge.connect_having_sent(texts);
+        let in_flight: Vec<ReceivedRequest> = (0..7).map(|_| endpoint.next_request()).collect();
         // No descriptor is left for these two. The first disconnects before the node accepts it.
-        let mut disconnected = edge.client();
-        let mut connected = edge.client();
+        let mut disconnected = edge.connect();
+        let mut connected = edge.connect();
         // Without a body the request is complete as soon as its head is read.
         let disconnected_request = without_time_limit("lookup", "disconnected").text();
-        disconnected.raw(&format!("{disconnected_request}{behind}"));
+        disconnected.send_raw(&format!("{disconnected_request}{behind}"));
         drop(disconnected);
-        connected.ask(&without_time_limit("post", "connected"));
-        let mut arrived_ids: Vec<String> = in_flight.iter().map(|request| request.id().to_string()).collect();
+        connected.send(&without_time_limit("post", "connected"));
+        let mut arrived_ids: Vec<String> =
+            in_flight.iter().map(|request| request.request_id().to_string()).collect();
         for request in in_flight {
-            request.answer("200 OK", "", "ok");
+            request.respond_ok("ok");
         }
         // Two of the nine wait for a connection, and may come before or after the connected client.
         for _ in 0..3 {
-            let request = endpoint.next();
-            assert_ne!(request.id(), "disconnected");
-            arrived_ids.push(request.id().to_string());
-            request.answer("200 OK", "", "ok");
+            let request = endpoint.next_request();
+            assert_ne!(request.request_id(), "disconnected");
+            arrived_ids.push(request.request_id().to_string());
+            request.respond_ok("ok");
         }
-        assert_eq!(connected.answer().status(), 200);
-        assert!(busy_clients.iter_mut().all(|client| client.answer().status() == 200));
+        assert_eq!(connected.response().status(), 200);
+        assert!(busy_clients.iter_mut().all(|client| client.response().status() == 200));
         // Each request once, and no other.
         arrived_ids.sort();
         let mut expected_ids: Vec<String> = (0..9).map(|number| format!("p-{number}")).collect();
         expected_ids.insert(0, "connected".to_string());
         assert_eq!(arrived_ids, expected_ids);
         drop(edge);
-        endpoint.no_request_to_the_end();
+        endpoint.assert_no_request_until_node_ended();
     }
 }
 
 #[test]
 fn a_queued_or_incomplete_request_is_not_sent_once_its_client_has_disconnected() {
-    let endpoint = App::new();
-    let discovery = Lists::new();
-    let mut config = config(&[]);
-    config["discovery"] = json!(discovery.address.to_string());
-    let edge = Edge::new(&config);
-    discovery.watched();
+    let endpoint = FakeEndpoint::start();
+    let discovery = FakeDiscovery::start();
+    let edge = NodeConfiguration::new(&[]).discovery(discovery.address).start();
+    discovery.wait_for_watch();
     // A body that lacks a byte.
-    let mut incomplete = edge.client();
-    let text = ask("post", "slow").text();
-    incomplete.raw(&text[..text.len() - 1]);
-    incomplete.half_close();
+    let mut incomplete = edge.connect();
+    let text = request("post", "slow").text();
+    incomplete.send_raw(&text[..text.len() - 1]);
+    incomplete.close_write_half();
     // Returns once the node has closed its side.
-    incomplete.rest();
+    incomplete.read_to_end();
     // The node knows no endpoint, so the request is queued.
     let request = without_time_limit("post", "p-1");
     disconnect(client_in_progress(&edge, &request));
     let mut second = ask_again(&edge, &request);
-    discovery.push(entry("s-1", endpoint.address, "a", "up"));
-    endpoint.next().answer("200 OK", "", "second");
-    assert_eq!(second.answer().body, b"second");
+    discovery.publish(active("s-1", endpoint.address));
+    endpoint.next_request().respond_ok("second");
+    assert_eq!(second.response().body, b"second");
     drop(edge);
-    endpoint.no_request_to_the_end();
+    endpoint.assert_no_request_until_node_ended();
 }
 
 /// An endpoint with a full backlog: no further connection to it comes up until it accepts.
@@ -262,29 +257,29 @@
     }
 
     /// Accepts from here on, first the connections that filled the backlog.
-    fn accept_all(self) -> App {
+    fn accept_all(self) -> FakeEndpoint {
         drop(self.filling);
-        App::on(self.listener)
+        FakeEndpoint::with_listener(self.listener)
     }
 }
 
 #[test]
 fn an_endpoint_that_starts_draining_while_a_connection_to_it_comes_up_gets_no_request() {
     let full_endpoint = FullEndpoint::new();
-    let second_endpoint = App::new();
-    let discovery = Lists::new();
-    let mut config = config(&[entry("s-1", full_endpoint.address, "a", "up")]);
-    config["discovery"] = json!(discovery.address.to_string());
-    config["settings"]["bounds"]["connect_timeout"] = json!(UNLIMITED_CONNECT_MICROS);
-    let edge = Edge::new(&config);
-    let mut client = edge.client();
-    client.ask(&without_time_limit("post", "p-1"));
-    discovery.push(entry("s-2", second_endpoint.address, "a", "up"));
-    discovery.push(entry("s-1", full_endpoint.address, "a", "draining"));
+    let second_endpoint = FakeEndpoint::start();
+    let discovery = FakeDiscovery::start();
+    let edge = NodeConfiguration::new(&[active("s-1", full_endpoint.address)])
+        .discovery(discovery.address)
+        .connect_timeout(UNLIMITED_CONNECT_MICROS)
+        .start();
+    let mut client = edge.connect();
+    client.send(&without_time_limit("post", "p-1"));
+    discovery.publish(active("s-2", second_endpoint.address));
+    discovery.publish(endpoint_entry("s-1", full_endpoint.address, "a", "draining"));
     let first_endpoint = full_endpoint.accept_all();
     // Also a non-idempotent request goes elsewhere: without a connection nothing ran.
-    second_endpoint.next().answer("200 OK", "", "elsewhere");
-    assert_eq!(client.answer().body, b"elsewhere");
+    second_endpoint.next_request().respond_ok("elsewhere");
+    assert_eq!(client.response().body, b"elsewhere");
     drop(edge);
-    first_endpoint.no_request_to_the_end();
+    first_endpoint.assert_no_request_until_node_ended();
 }
--- a/tests/endpoint_lists/lists.rs
+++ b/tests/endpoint_lists/lists.rs
@@ -1,4 +1,4 @@
-//! Lists for the tests, as discovery sends them.
+//! Endpoint lists for the tests, as discovery sends them.
 
 use edge_node::decision::EndpointId;
 use edge_node::net::discovery::endpoint_id::endpoint_id;
@@ -9,7 +9,7 @@
 use edge_node::net::discovery::MAX_LIST_BYTES;
 use serde_json::{json, Value};
 
-use crate::fakes::{entry, App};
+use crate::fakes::{active, endpoint_entry, FakeEndpoint};
 
 /// How many endpoints a list names.
 pub const SIZES: [usize; 3] = [200, 4_600, 46_000];
@@ -29,7 +29,7 @@
 /// The entry of an endpoint at an address of its own.
 pub fn numbered(number: usize, status: &str) -> Value {
     let [_, second, third, fourth] = (number as u32).to_be_bytes();
-    entry(&name(number), ([127, second + 1, third, fourth], 9).into(), "a", status)
+    endpoint_entry(&name(number), ([127, second + 1, third, fourth], 9).into(), "a", status)
 }
 
 /// Entries of endpoints that are up.
@@ -59,10 +59,10 @@
 }
 
 /// The longest list, indented, with names twice as long as the protocol's and one malformed entry.
-pub fn longest_list(version: u64, endpoint: &App) -> String {
+pub fn longest_list(version: u64, endpoint: &FakeEndpoint) -> String {
     let name = |number: usize| format!("s-{version:08x}{number:010x}");
     let mut entries: Vec<Value> =
-        (0..LONGEST).map(|number| entry(&name(number), endpoint.address, "a", "up")).collect();
+        (0..LONGEST).map(|number| active(&name(number), endpoint.address)).collect();
     entries[LONGEST / 2] = json!({"name": 7});
     let text = serde_json::to_string_pretty(&snapshot(version, &entries)).expect("JSON");
     assert!((8 << 20..MAX_LIST_BYTES).contains(&text.len()), "{} bytes", text.len());
--- a/tests/endpoint_lists/node.rs
+++ b/tests/endpoint_lists/node.rs
@@ -18,13 +18,13 @@
 use edge_node::net::event_loop::EventLoop;
 use edge_node::net::event_sink::EventSink;
 use edge_node::net::upstream::{ForwardedRequest, Upstreams};
-use edge_node::protocol::simulator::SettingsDocument;
+use edge_node::protocol::settings::SettingsDocument;
 use hyper::header::HeaderValue;
 use hyper::{Method, Uri};
 use tokio::runtime::{Builder, LocalOptions};
 use tokio::task::{spawn_local, yield_now};
 
-use crate::fakes::{settings, App, Seen, PATIENCE};
+use crate::fakes::{node_settings, FakeEndpoint, ReceivedRequest, TEST_TIMEOUT};
 use crate::lists::{id, labels, name};
 
 /// In so many turns of the runtime what was sent on a loopback connection has been read.
@@ -40,8 +40,8 @@
 }
 
 impl Node {
-    pub fn new(agent: &App) -> Node {
-        let document: SettingsDocument = serde_json::from_value(settings()).expect("settings");
+    pub fn new(agent: &FakeEndpoint) -> Node {
+        let document: SettingsDocument = serde_json::from_value(node_settings()).expect("settings");
         let settings = Settings::from(document);
         let schedule = WatchSchedule::new(1, settings.node_count, false);
         let upstreams = Upstreams::new(DescriptorBudget::new(64), 0, 0);
@@ -53,7 +53,7 @@
     }
 
     /// Such a node that watches.
-    pub fn started(agent: &App) -> Node {
+    pub fn started(agent: &FakeEndpoint) -> Node {
         let node = Node::new(agent);
         node.discovery.start(&node.events, EndpointList::default());
         node
@@ -76,7 +76,7 @@
     }
 
     /// Responds to watches from this version with this list until a part of it was published.
-    pub async fn publish_first_part(&self, agent: &App, version: u64, list: &str) {
+    pub async fn publish_first_part(&self, agent: &FakeEndpoint, version: u64, list: &str) {
         until(|| {
             if let Some(call) = watch_from(agent, version) {
                 send(call, list.to_string());
@@ -98,7 +98,7 @@
 
     /// The outcomes of attempts at the endpoints of these numbers. So many of them reach each of the servers, which
     /// responds.
-    pub async fn attempts(&self, numbers: &[usize], served: &[(&App, usize)]) -> Vec<Outcome> {
+    pub async fn attempts(&self, numbers: &[usize], served: &[(&FakeEndpoint, usize)]) -> Vec<Outcome> {
         let mut attempts = Vec::new();
         for &number in numbers {
             attempts.push(spawn_local(attempt(self.event_loop.clone(), number)));
@@ -106,7 +106,7 @@
         some_turns().await;
         for &(server, count) in served {
             for _ in 0..count {
-                server.next().answer("200 OK", "", "ok");
+                server.next_request().respond_ok("ok");
             }
         }
         let mut outcomes = Vec::new();
@@ -141,7 +141,7 @@
 
 /// Lets the node's tasks run until this returns something.
 pub async fn until<T>(mut check: impl FnMut() -> Option<T>) -> T {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
         if let Some(found) = check() {
             return found;
@@ -157,33 +157,33 @@
     }
 }
 
-pub fn is_watch_from(call: &Seen, version: u64) -> bool {
+pub fn is_watch_from(call: &ReceivedRequest, version: u64) -> bool {
     call.message.first.contains(&format!("after={version}&"))
 }
 
-pub fn is_fetch(call: &Seen) -> bool {
+pub fn is_fetch(call: &ReceivedRequest) -> bool {
     !call.message.first.contains("after=")
 }
 
 /// The next watch from this version, if it has come by now.
-pub fn watch_from(agent: &App, version: u64) -> Option<Seen> {
-    agent.poll_once().filter(|call| is_watch_from(call, version))
+pub fn watch_from(agent: &FakeEndpoint, version: u64) -> Option<ReceivedRequest> {
+    agent.poll_request().filter(|call| is_watch_from(call, version))
 }
 
 /// The next call, which may still have to be made. Its reader's thread is waited for while no part is published.
-pub async fn next_call(agent: &App) -> Seen {
+pub async fn next_call(agent: &FakeEndpoint) -> ReceivedRequest {
     for _ in 0..TURNS {
-        if let Some(call) = agent.poll_once() {
+        if let Some(call) = agent.poll_request() {
             return call;
         }
         yield_now().await;
     }
-    agent.next()
+    agent.next_request()
 }
 
 /// Sends a response on a thread of its own: a long one does not fit into a socket.
-pub fn send(call: Seen, response: String) -> JoinHandle<()> {
-    std::thread::spawn(move || call.spoil(response.as_bytes()))
+pub fn send(call: ReceivedRequest, response: String) -> JoinHandle<()> {
+    std::thread::spawn(move || call.send_raw(response.as_bytes()))
 }
 
 /// Waits until the endpoints are held by another thread, too: then a list is being prepared beside them.
--- a/tests/endpoint_lists/process.rs
+++ b/tests/endpoint_lists/process.rs
@@ -6,7 +6,9 @@
 
 use serde_json::{json, Value};
 
-use crate::fakes::{ask, config, entry, next_of, nobody, App, Edge};
+use crate::fakes::{
+    active, next_request_at_any, request, unreachable_address, EdgeProcess, FakeEndpoint, NodeConfiguration,
+};
 use crate::lists::{longest_list, response, snapshot};
 use crate::snapshot::COLLIDING_NAMES;
 
@@ -15,92 +17,90 @@
 
 /// A node as a process, its agent and its configuration.
 struct Node {
-    edge: Edge,
-    agent: App,
-    config: Value,
+    edge: EdgeProcess,
+    agent: FakeEndpoint,
+    configuration: NodeConfiguration,
 }
 
 /// A node that knows these entries.
 fn start(entries: &[Value]) -> Node {
-    let agent = App::new();
-    let mut config = config(entries);
-    config["discovery"] = json!(agent.address.to_string());
-    Node { edge: Edge::new(&config), agent, config }
+    let agent = FakeEndpoint::start();
+    let configuration = NodeConfiguration::new(entries).discovery(agent.address);
+    Node { edge: configuration.start(), agent, configuration }
 }
 
 /// Responds with this list to watches from one version, until the node watches from the other. On a slow machine a
 /// watch may have timed out before its response was complete; it comes again then.
-fn respond_until_applied(agent: &App, from_version: u64, to_version: u64, list: &str) {
+fn respond_until_applied(agent: &FakeEndpoint, from_version: u64, to_version: u64, list: &str) {
     let watch_from = format!("after={from_version}&");
     let watch_to = format!("after={to_version}&");
     loop {
-        let call = agent.next();
+        let call = agent.next_request();
         if call.message.first.contains(&watch_to) {
             let unchanged = json!({"index": to_version, "snapshot": false, "endpoints": []}).to_string();
-            return call.spoil(response(&unchanged).as_bytes());
+            return call.send_raw(response(&unchanged).as_bytes());
         }
         if call.message.first.contains(&watch_from) {
-            call.spoil(response(list).as_bytes());
+            call.send_raw(response(list).as_bytes());
         }
     }
 }
 
 /// Checks that the node's next request goes to this endpoint, and returns the node's address on its connection.
-fn assert_served_by(endpoint: &App, edge: &Edge, request_id: &str) -> SocketAddr {
-    let mut client = edge.client();
-    client.ask(&ask("post", request_id));
-    let request = endpoint.next();
-    let connection = request.line();
-    request.answer("200 OK", "", "ok");
-    assert_eq!(client.answer().status(), 200);
+fn assert_served_by(endpoint: &FakeEndpoint, edge: &EdgeProcess, request_id: &str) -> SocketAddr {
+    let mut client = edge.connect();
+    client.send(&request("post", request_id));
+    let request = endpoint.next_request();
+    let connection = request.node_address();
+    request.respond_ok("ok");
+    assert_eq!(client.response().status(), 200);
     connection
 }
 
 #[test]
 fn the_longest_indented_list_is_applied_and_replaced_by_another() {
-    let first = App::new();
-    let second = App::new();
+    let first = FakeEndpoint::start();
+    let second = FakeEndpoint::start();
     let first_list = longest_list(2, &first);
     let second_list = longest_list(3, &second);
-    let mut node = start(&[entry("s-1", nobody(), "a", "up")]);
+    let mut node = start(&[active("s-1", unreachable_address())]);
     respond_until_applied(&node.agent, 1, 2, &first_list);
     assert_served_by(&first, &node.edge, "p-1");
-    while !node.edge.says().contains("malformed entry") {}
+    while !node.edge.next_log_line().contains("malformed entry") {}
     respond_until_applied(&node.agent, 2, 3, &second_list);
     assert_served_by(&second, &node.edge, "p-2");
-    first.no_request();
+    first.assert_no_request();
 }
 
 #[test]
 fn a_long_list_overtaken_by_a_move_of_discovery_undoes_nothing() {
-    let old = App::new();
-    let new = App::new();
-    let new_agent = App::new();
+    let old = FakeEndpoint::start();
+    let new = FakeEndpoint::start();
+    let new_agent = FakeEndpoint::start();
     let list_of_old_agent = response(&longest_list(9, &old));
-    let Node { edge, agent, mut config } = start(&[entry("s-1", old.address, "a", "up")]);
+    let Node { edge, agent, configuration } = start(&[active("s-1", old.address)]);
     // Both the fetch and the watch: the move finds the long list on its way, half prepared or applied.
-    agent.next().spoil(list_of_old_agent.as_bytes());
-    agent.next().spoil(list_of_old_agent.as_bytes());
-    config["discovery"] = json!(new_agent.address.to_string());
-    edge.reload(&config.to_string());
-    let list = snapshot(3, &[entry("s-2", new.address, "a", "up")]).to_string();
+    agent.next_request().send_raw(list_of_old_agent.as_bytes());
+    agent.next_request().send_raw(list_of_old_agent.as_bytes());
+    edge.reload(&configuration.discovery(new_agent.address).to_text());
+    let list = snapshot(3, &[active("s-2", new.address)]).to_string();
     loop {
-        let call = new_agent.next();
+        let call = new_agent.next_request();
         if call.message.first.contains("after=3&") {
             break;
         }
-        call.spoil(response(&list).as_bytes());
+        call.send_raw(response(&list).as_bytes());
     }
     for number in 0..3 {
         assert_served_by(&new, &edge, &format!("p-{number}"));
     }
-    old.no_request();
+    old.assert_no_request();
 }
 
 #[test]
 fn a_snapshot_closes_only_connections_to_an_address_that_another_endpoint_takes() {
-    let endpoint = App::new();
-    let known = [entry("s-1", endpoint.address, "a", "up")];
+    let endpoint = FakeEndpoint::start();
+    let known = [active("s-1", endpoint.address)];
     let Node { edge, agent, .. } = start(&known);
     let connection = assert_served_by(&endpoint, &edge, "p-1");
     std::thread::sleep(AFTER_MIN_IDLE);
@@ -109,7 +109,7 @@
     assert_eq!(reused, connection, "closed though nothing has changed");
     std::thread::sleep(AFTER_MIN_IDLE);
     // The first endpoint is still listed; the connection leads to it and not to the new one.
-    let both = [&known[..], &[entry("s-2", endpoint.address, "a", "up")]].concat();
+    let both = [&known[..], &[active("s-2", endpoint.address)]].concat();
     respond_until_applied(&agent, 2, 3, &snapshot(3, &both).to_string());
     for number in 0..20 {
         let used = assert_served_by(&endpoint, &edge, &format!("q-{number}"));
@@ -119,17 +119,17 @@
 
 #[test]
 fn two_endpoints_with_colliding_names_are_both_used() {
-    let endpoints = [App::new(), App::new()];
-    let entries = [0, 1].map(|index| entry(COLLIDING_NAMES[index], endpoints[index].address, "a", "up"));
+    let endpoints = [FakeEndpoint::start(), FakeEndpoint::start()];
+    let entries = [0, 1].map(|index| active(COLLIDING_NAMES[index], endpoints[index].address));
     let node = start(&entries);
     let mut used = BTreeSet::new();
     for number in 0..200 {
-        let mut client = node.edge.client();
-        client.ask(&ask("post", &format!("p-{number}")));
-        let (index, request) = next_of(&[&endpoints[0], &endpoints[1]]);
-        request.answer("200 OK", "", "ok");
-        assert_eq!(client.answer().status(), 200);
-        used.insert(index);
+        let mut client = node.edge.connect();
+        client.send(&request("post", &format!("p-{number}")));
+        let received = next_request_at_any(&[&endpoints[0], &endpoints[1]]);
+        received.request.respond_ok("ok");
+        assert_eq!(client.response().status(), 200);
+        used.insert(received.endpoint);
         if used.len() == 2 {
             return;
         }
--- a/tests/endpoint_lists/publication.rs
+++ b/tests/endpoint_lists/publication.rs
@@ -10,7 +10,7 @@
 use serde_json::{json, Value};
 use tokio::task::{spawn_local, yield_now};
 
-use crate::fakes::{entry, App};
+use crate::fakes::{active, endpoint_entry, FakeEndpoint};
 use crate::lists::{all_up, labels, longest_list, name, numbered, read, response, snapshot, LONGEST};
 use crate::node::{
     is_fetch, is_watch_from, next_call, on_one_thread, send, some_turns, until, until_prepared,
@@ -20,10 +20,10 @@
 /// So many endpoints make a long list, and a delta of some tens of parts.
 const LONG: usize = 12_000;
 /// A long list of endpoints from this number on, all at this server, and of others.
-fn long_list(version: u64, first: usize, server: &App, others: &[Value]) -> String {
+fn long_list(version: u64, first: usize, server: &FakeEndpoint, others: &[Value]) -> String {
     let mut entries = Vec::new();
     for number in first..first + LONG {
-        entries.push(entry(&name(number), server.address, "a", "up"));
+        entries.push(active(&name(number), server.address));
     }
     entries.extend_from_slice(others);
     response(&snapshot(version, &entries).to_string())
@@ -31,14 +31,14 @@
 
 #[test]
 fn a_list_prepared_while_discovery_moves_is_dropped() {
-    let agent = App::new();
-    let new_agent = App::new();
+    let agent = FakeEndpoint::start();
+    let new_agent = FakeEndpoint::start();
     let list_of_old_agent = response(&longest_list(9, &agent));
     on_one_thread(async {
         let node = Node::started(&agent);
         until(|| watch_from(&agent, 0)).await;
         node.discovery.fetch(node.events.clone());
-        let fetch = until(|| agent.poll_once().filter(is_fetch)).await;
+        let fetch = until(|| agent.poll_request().filter(is_fetch)).await;
         let known = Arc::downgrade(&node.endpoints());
         let sent = send(fetch, list_of_old_agent.clone());
         until_preparing(&known).await;
@@ -48,9 +48,9 @@
         let list = response(&snapshot(3, &all_up([1])).to_string());
         // Calls that have timed out meanwhile get a response, too.
         until(|| {
-            let call = new_agent.poll_once()?;
+            let call = new_agent.poll_request()?;
             let is_applied = is_watch_from(&call, 3);
-            call.spoil(list.as_bytes());
+            call.send_raw(list.as_bytes());
             is_applied.then_some(())
         })
         .await;
@@ -62,7 +62,7 @@
 
 #[test]
 fn a_long_delta_does_not_undo_what_was_applied_while_it_was_prepared() {
-    let agent = App::new();
+    let agent = FakeEndpoint::start();
     let delta = json!({"index": 2, "snapshot": false, "endpoints": all_up(0..LONGEST)});
     let long_delta = response(&delta.to_string());
     on_one_thread(async {
@@ -82,12 +82,13 @@
 
 #[test]
 fn between_two_parts_old_and_new_endpoints_are_reached_and_draining_ones_are_not() {
-    let agent = App::new();
-    let first = App::new();
-    let second = App::new();
+    let agent = FakeEndpoint::start();
+    let first = FakeEndpoint::start();
+    let second = FakeEndpoint::start();
     let draining = 2 * LONG;
     let moving = 2 * LONG + 1;
-    let listed = |number, server: &App, status| entry(&name(number), server.address, "a", status);
+    let listed =
+        |number, server: &FakeEndpoint, status| endpoint_entry(&name(number), server.address, "a", status);
     let before = [listed(draining, &first, "up"), listed(moving, &first, "up")];
     let after = [listed(draining, &first, "draining"), listed(moving, &second, "up")];
     let first_list = long_list(2, 0, &first, &before);
@@ -107,14 +108,14 @@
         node.publish_the_rest().await;
         let outcomes = node.attempts(&[7, 8, LONG + 7], &[(&second, 1)]).await;
         assert_eq!(outcomes, [Outcome::ConnectFailed, Outcome::ConnectFailed, Outcome::Ok]);
-        first.no_request();
+        first.assert_no_request();
     });
 }
 
 #[test]
 fn other_tasks_get_a_turn_between_any_two_parts_and_an_unchanged_list_has_no_parts() {
-    let agent = App::new();
-    let server = App::new();
+    let agent = FakeEndpoint::start();
+    let server = FakeEndpoint::start();
     let first_list = long_list(2, 0, &server, &[]);
     let second_list = long_list(3, LONG, &server, &[]);
     on_one_thread(async {
@@ -128,7 +129,7 @@
         let unchanged = long_list(4, LONG, &server, &[]);
         let next_call = until(|| {
             assert!(!node.is_publishing(), "the same list again");
-            let call = agent.poll_once()?;
+            let call = agent.poll_request()?;
             if is_watch_from(&call, 3) {
                 send(call, unchanged.clone());
                 return None;
@@ -141,9 +142,9 @@
 
 #[test]
 fn a_move_between_two_parts_leaves_no_half_list_and_no_version_of_the_old_agent() {
-    let agent = App::new();
-    let new_agent = App::new();
-    let server = App::new();
+    let agent = FakeEndpoint::start();
+    let new_agent = FakeEndpoint::start();
+    let server = FakeEndpoint::start();
     let list = long_list(9, 0, &server, &[]);
     on_one_thread(async {
         let node = Node::started(&agent);
@@ -153,24 +154,24 @@
         assert!(node.is_publishing(), "moved between two parts");
         node.publish_the_rest().await;
         assert_eq!(node.endpoints().len(), LONG);
-        call.spoil(b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
-        let call = until(|| new_agent.poll_once()).await;
+        call.send_raw(b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
+        let call = until(|| new_agent.poll_request()).await;
         assert!(is_fetch(&call), "asked from the old agent's version");
-        call.answer("200 OK", "", &snapshot(3, &all_up([1])).to_string());
+        call.respond_ok(&snapshot(3, &all_up([1])).to_string());
         until(|| watch_from(&new_agent, 3)).await;
         assert_eq!(node.endpoints().len(), 1);
     });
 }
 
 /// Publishes a part of a list of version 9, and fetches another list of this version between two parts.
-fn fetch_between_two_parts(version: u64, fetched: impl FnOnce(&App) -> String) {
-    let agent = App::new();
-    let server = App::new();
+fn fetch_between_two_parts(version: u64, fetched: impl FnOnce(&FakeEndpoint) -> String) {
+    let agent = FakeEndpoint::start();
+    let server = FakeEndpoint::start();
     let list = long_list(9, 0, &server, &[]);
     let fetched = fetched(&server);
     on_one_thread(async {
         let node = Node::started(&agent);
-        until(|| agent.poll_once().filter(is_fetch)).await;
+        until(|| agent.poll_request().filter(is_fetch)).await;
         node.publish_first_part(&agent, 0, &list).await;
         node.discovery.fetch(node.events.clone());
         send(next_call(&agent).await, fetched);
@@ -209,7 +210,7 @@
 #[test]
 fn the_second_of_two_long_lists_is_applied_after_all_parts_of_the_first() {
     on_one_thread(async {
-        let node = Node::new(&App::new());
+        let node = Node::new(&FakeEndpoint::start());
         let applier = ListApplier::new(node.event_loop.upstreams.clone(), labels());
         let apply = |first: usize| {
             let received = ReceivedList { list: read(&all_up(first..first + LONG)), is_long: true };
--- a/tests/endpoint_lists/snapshot.rs
+++ b/tests/endpoint_lists/snapshot.rs
@@ -10,7 +10,7 @@
 use fastrand::Rng;
 use serde_json::{json, Value};
 
-use crate::fakes::entry;
+use crate::fakes::endpoint_entry;
 use crate::lists::{all_up, id, labels, name, numbered, read, with_snapshot, LONGEST, SIZES};
 
 /// Two names with the same 32-bit FNV-1a hash.
@@ -79,7 +79,7 @@
     let endpoints = ids.filter_map(|id| known.get(id));
     let entries = endpoints.map(|endpoint| {
         let status = if endpoint.is_active() { "up" } else { "draining" };
-        let mut entry = entry(&endpoint.name, endpoint.address, "a", status);
+        let mut entry = endpoint_entry(&endpoint.name, endpoint.address, "a", status);
         entry["since_ms"] = json!(endpoint.attributes.started_at_ms);
         entry
     });
--- a/tests/fakes/configuration.rs
+++ b/tests/fakes/configuration.rs
@@ -92,6 +92,38 @@
         self
     }
 
+    /// Sets the total timeout of all classes, in microseconds.
+    pub fn total_timeout(mut self, micros: u64) -> Self {
+        for class in self.0["settings"]["classes"].as_array_mut().expect("classes") {
+            class["deadline"] = json!(micros);
+        }
+        self
+    }
+
+    /// Sets the time within which a connection to an endpoint must come up, in microseconds.
+    pub fn connect_timeout(mut self, micros: u64) -> Self {
+        self.0["settings"]["bounds"]["connect_timeout"] = json!(micros);
+        self
+    }
+
+    /// Forbids the node to cancel attempts.
+    pub fn without_cancellation(mut self) -> Self {
+        self.0["settings"]["bounds"]["cancel"] = json!(false);
+        self
+    }
+
+    /// Has the node call one discovery that all nodes share, in place of an agent on its machine.
+    pub fn shared_discovery(mut self) -> Self {
+        self.0["settings"]["registry_mode"] = json!("ask");
+        self
+    }
+
+    /// Sets how many nodes there are.
+    pub fn node_count(mut self, count: u32) -> Self {
+        self.0["settings"]["n_instances"] = json!(count);
+        self
+    }
+
     /// Sets how many descriptors the node may hold.
     pub fn descriptors(mut self, count: u32) -> Self {
         self.0["limits"]["sockets"] = json!(count);
@@ -103,11 +135,6 @@
         self.0.to_string()
     }
 
-    /// The configuration as JSON.
-    pub fn into_value(self) -> Value {
-        self.0
-    }
-
     /// Starts the node.
     pub fn start(&self) -> EdgeProcess {
         EdgeProcess::start(&self.to_text())
--- a/tests/fakes/endpoint.rs
+++ b/tests/fakes/endpoint.rs
@@ -96,8 +96,7 @@
 pub struct FakeEndpoint {
     /// Where it listens.
     pub address: SocketAddr,
-    /// A clone of each of its connections, for closing it.
-    pub lines: Connections,
+    connections: Connections,
     events: Receiver<EndpointEvent>,
     last_connection: LastConnection,
 }
@@ -112,12 +111,12 @@
     pub fn with_listener(listener: TcpListener) -> FakeEndpoint {
         let address = listener.local_addr().expect("an address");
         let (sender, events) = channel();
-        let lines = Connections::default();
+        let connections = Connections::default();
         let last_connection = LastConnection::default();
-        let accepted = lines.clone();
+        let accepted = connections.clone();
         let ends_with = last_connection.clone();
         spawn(move || accept_connections(&listener, &sender, &accepted, &ends_with));
-        FakeEndpoint { address, lines, events, last_connection }
+        FakeEndpoint { address, connections, events, last_connection }
     }
 
     /// The next event.
@@ -144,16 +143,24 @@
 
     /// How many connections it has accepted and not closed.
     pub fn connection_count(&self) -> usize {
-        self.lines.lock().expect("no panic").len()
+        self.connections.lock().expect("no panic").len()
     }
 
     /// Closes all connections.
     pub fn close_connections(&self) {
-        for connection in self.lines.lock().expect("no panic").drain(..) {
+        for connection in self.connections.lock().expect("no panic").drain(..) {
             connection.shutdown(Shutdown::Both).expect("an open connection");
         }
     }
 
+    /// Closes all connections, some of which the node may have closed already.
+    pub fn close_remaining_connections(&self) {
+        for connection in self.connections.lock().expect("no panic").drain(..) {
+            // It may be closed already.
+            let _ = connection.shutdown(Shutdown::Both);
+        }
+    }
+
     /// Sends these bytes in place of a response and resets the connection.
     pub fn send_raw_and_reset(&self, mut request: ReceivedRequest, bytes: &[u8]) {
         request.stream.write_all(bytes).expect("an open connection");
@@ -161,7 +168,7 @@
         socket.set_linger(Some(Duration::ZERO)).expect("an open connection");
         // The reset is sent when the last handle is closed; the reader and the list of connections have one each.
         socket.shutdown(Shutdown::Read).expect("an open connection");
-        self.lines.lock().expect("no panic").clear();
+        self.connections.lock().expect("no panic").clear();
     }
 
     /// Asserts that the next event is the end of a connection.
--- a/tests/fakes/mod.rs
+++ b/tests/fakes/mod.rs
@@ -1,8 +1,8 @@
 //! Peers of an edge node under test, on loopback sockets with ports of their own: endpoints whose every response the
 //! test gives itself, discovery, a counter service and clients. Tests are ordered by what has arrived, not by time.
 
-// Each test file that includes this uses a part of it.
-#![allow(dead_code, unused_imports)]
+#![allow(dead_code, reason = "each test file that includes this module uses a part of it")]
+#![allow(unused_imports, reason = "each test file that includes this module uses a part of it")]
 
 mod client;
 mod configuration;
@@ -10,7 +10,6 @@
 mod discovery;
 mod edge_process;
 mod endpoint;
-mod former_names;
 mod http;
 mod setups;
 mod unused_ports;
@@ -23,9 +22,6 @@
 pub use discovery::FakeDiscovery;
 pub use edge_process::{start_until_end, EdgeProcess, ProcessEnd};
 pub use endpoint::{next_request_at_any, EndpointEvent, FakeEndpoint, ReceivedAt, ReceivedRequest};
-pub use former_names::{
-    ask, config, entry, next_of, nobody, settings, App, Ask, Counts, Down, Edge, Lists, Seen, PATIENCE,
-};
 pub use http::{read_message, HttpMessage};
 pub use setups::{assert_failed, assert_served_by, one_endpoint, two_endpoints, OneEndpoint, TwoEndpoints};
 pub use unused_ports::{unreachable_address, ReservedPort};
--- a/tests/list_notification_deadline.rs
+++ b/tests/list_notification_deadline.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use edge_node::net::discovery::timeout::NOTIFIED_AFTER;
-use fakes::{ask, config, entry, App, Edge, Seen};
+use fakes::{active, request, EdgeProcess, FakeEndpoint, NodeConfiguration, ReceivedRequest};
 use serde_json::{json, Value};
 
 /// Where a node gets its list from.
@@ -20,27 +20,25 @@
 }
 
 /// A node that knows these entries and calls this peer.
-fn node(known: &[Value], peer: &App, discovery: Discovery) -> Edge {
-    let mut config = config(known);
-    config["discovery"] = json!(peer.address.to_string());
-    if let Discovery::SharedBy(nodes) = discovery {
-        config["settings"]["registry_mode"] = json!("ask");
-        config["settings"]["n_instances"] = json!(nodes);
+fn node(known: &[Value], peer: &FakeEndpoint, discovery: Discovery) -> EdgeProcess {
+    let configuration = NodeConfiguration::new(known).discovery(peer.address);
+    match discovery {
+        Discovery::Agent => configuration.start(),
+        Discovery::SharedBy(nodes) => configuration.shared_discovery().node_count(nodes).start(),
     }
-    Edge::new(&config)
 }
 
 /// The version that a call watches from; none for a call for the full list.
-fn version_watched_from(call: &Seen) -> Option<u64> {
+fn version_watched_from(call: &ReceivedRequest) -> Option<u64> {
     let (_, after) = call.message.first.split_once("after=")?;
     let version = after.split('&').next().expect("a version");
     Some(version.parse().expect("a number"))
 }
 
 /// The next watch. Calls for the full list that come before it get no response.
-fn next_watch(peer: &App) -> Seen {
+fn next_watch(peer: &FakeEndpoint) -> ReceivedRequest {
     loop {
-        let call = peer.next();
+        let call = peer.next_request();
         if version_watched_from(&call).is_some() {
             return call;
         }
@@ -48,29 +46,29 @@
 }
 
 /// Ends a call without a list that can be applied.
-type EndCall = fn(&App, Seen);
+type EndCall = fn(&FakeEndpoint, ReceivedRequest);
 
 const CALL_ENDS: [EndCall; 9] = [
-    |_, call| call.answer("500 Internal Server Error", "", ""),
-    |_, call| call.answer("503 Service Unavailable", "Retry-After: 60\r\n", ""),
+    |_, call| call.respond("500 Internal Server Error", "", ""),
+    |_, call| call.respond("503 Service Unavailable", "Retry-After: 60\r\n", ""),
     // It ends instead of bringing a list: with nothing, in order or by a reset, in the middle, without a change.
     |_, call| call.close(),
-    |peer, call| peer.reset(call, b""),
-    |peer, call| peer.reset(call, b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{\"index\":99,"),
-    |_, call| call.raw(b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"index\":99,"),
-    |_, call| call.answer("200 OK", "", r#"{"index":0,"snapshot":false,"endpoints":[]}"#),
-    |_, call| call.answer("200 OK", "", r#"{"index":99,"snapshot":true}"#),
-    |_, call| call.answer("200 OK", "Connection: close\r\n", "no list"),
+    |peer, call| peer.send_raw_and_reset(call, b""),
+    |peer, call| peer.send_raw_and_reset(call, b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{\"index\":99,"),
+    |_, call| call.send_raw_and_close(b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"index\":99,"),
+    |_, call| call.respond_ok(r#"{"index":0,"snapshot":false,"endpoints":[]}"#),
+    |_, call| call.respond_ok(r#"{"index":99,"snapshot":true}"#),
+    |_, call| call.respond("200 OK", "Connection: close\r\n", "no list"),
 ];
 
 #[test]
 fn the_next_call_brings_what_a_failed_one_missed_however_it_failed() {
     for discovery in [Discovery::Agent, Discovery::SharedBy(4)] {
-        let endpoints = [App::new(), App::new()];
-        let peer = App::new();
-        let listed = |index: usize| entry(&format!("s-{index}"), endpoints[index].address, "a", "up");
+        let endpoints = [FakeEndpoint::start(), FakeEndpoint::start()];
+        let peer = FakeEndpoint::start();
+        let listed = |index: usize| active(&format!("s-{index}"), endpoints[index].address);
         let edge = node(&[listed(0)], &peer, discovery);
-        let mut client = edge.client();
+        let mut client = edge.connect();
         for (row, end_call) in CALL_ENDS.into_iter().enumerate() {
             let call = next_watch(&peer);
             let version = version_watched_from(&call).expect("a watch");
@@ -80,33 +78,33 @@
             // An endpoint that a full list doesn't name is removed.
             let index = (row + 1) % 2;
             let list = json!({"index": version + 1, "snapshot": true, "endpoints": [listed(index)]});
-            retry.answer("200 OK", "", &list.to_string());
+            retry.respond_ok(&list.to_string());
             // It watches on from that version, so it has applied the list.
             let watch = next_watch(&peer);
             assert_eq!(version_watched_from(&watch), Some(version + 1), "row {row}");
-            client.ask(&ask("post", &format!("{discovery:?}-{row}")));
-            endpoints[index].next().answer("200 OK", "", "ok");
-            assert_eq!(client.answer().status(), 200);
-            endpoints[1 - index].no_request();
+            client.send(&request("post", &format!("{discovery:?}-{row}")));
+            endpoints[index].next_request().respond_ok("ok");
+            assert_eq!(client.response().status(), 200);
+            endpoints[1 - index].assert_no_request();
             let unchanged = json!({"index": version + 1, "snapshot": false, "endpoints": []});
-            watch.answer("200 OK", "", &unchanged.to_string());
+            watch.respond_ok(&unchanged.to_string());
         }
     }
 }
 
 /// A watch that gets no response.
 struct SilentWatch {
-    call: Seen,
+    call: ReceivedRequest,
     began_at: Instant,
 }
 
-fn keep_silent(peer: &App) -> SilentWatch {
+fn keep_silent(peer: &FakeEndpoint) -> SilentWatch {
     SilentWatch { call: next_watch(peer), began_at: Instant::now() }
 }
 
 #[test]
 fn a_silent_watch_is_replaced_before_what_it_missed_counts_as_notified() {
-    let peers = [App::new(), App::new()];
+    let peers = [FakeEndpoint::start(), FakeEndpoint::start()];
     let _nodes = [node(&[], &peers[0], Discovery::Agent), node(&[], &peers[1], Discovery::SharedBy(4))];
     // Silent from its begin: that leaves the least time.
     let silent_watches = peers.each_ref().map(keep_silent);
@@ -115,13 +113,13 @@
         let elapsed = silent.began_at.elapsed();
         assert!(elapsed < NOTIFIED_AFTER, "after {elapsed:?}");
         assert_eq!(version_watched_from(&next), version_watched_from(&silent.call));
-        assert_ne!(next.line(), silent.call.line(), "asked on the silent connection");
+        assert_ne!(next.node_address(), silent.call.node_address(), "asked on the silent connection");
     }
 }
 
 #[test]
 fn a_silent_watch_of_one_of_many_nodes_is_replaced_in_time_as_well() {
-    let peer = App::new();
+    let peer = FakeEndpoint::start();
     let _node = node(&[], &peer, Discovery::SharedBy(30));
     let silent = keep_silent(&peer);
     let _next = next_watch(&peer);
