--- a/tests/connection_close_races.rs
+++ b/tests/connection_close_races.rs
@@ -11,6 +11,34 @@
     RequestSpec,
 };
 
+/// A client that sends a request in two parts, the first of them behind a complete request.
+struct PartialRequest {
+    client: Client,
+    number: usize,
+    id: String,
+    text: String,
+    sent_length: usize,
+}
+
+impl PartialRequest {
+    fn new(client: Client, number: usize) -> PartialRequest {
+        let id = format!("second-{number}");
+        let text = request("post", &id).text();
+        PartialRequest { client, number, id, text, sent_length: 0 }
+    }
+
+    /// Sends a complete request together with this many bytes of the second.
+    fn send_behind_another(&mut self, sent_length: usize) {
+        let first = request("lookup", &format!("first-{}", self.number)).text();
+        self.client.send_raw(&format!("{first}{}", &self.text[..sent_length]));
+        self.sent_length = sent_length;
+    }
+
+    fn send_rest(&mut self) {
+        self.client.send_raw(&self.text[self.sent_length..]);
+    }
+}
+
 #[test]
 fn a_partial_request_behind_another_is_served_when_idle_connections_close() {
     // A part of a request that arrived together with the request before it is no longer unread in the socket.
@@ -20,28 +48,35 @@
     idle.send(&request("post", "idle"));
     endpoint.next_request().respond_ok("ok");
     assert_eq!(idle.response().status(), 200);
-    let second = request("post", "second").text();
-    // A byte; a part of its head; all but the last byte of its head.
-    let partial_lengths = [1, 30, second.len() - 6];
-    let mut clients: Vec<Client> = partial_lengths.iter().map(|_| edge.connect()).collect();
-    for (number, (client, length)) in clients.iter_mut().zip(partial_lengths).enumerate() {
-        let first = request("lookup", &format!("first-{number}")).text();
-        client.send_raw(&format!("{first}{}", &second[..length]));
+    let mut clients = [0, 1, 2].map(|number| PartialRequest::new(edge.connect(), number));
+    let body_length = "slip!".len();
+    let without_last_byte_of_head = clients[2].text.len() - body_length - 1;
+    for (partial, sent_length) in clients.iter_mut().zip([1, 30, without_last_byte_of_head]) {
+        partial.send_behind_another(sent_length);
     }
-    for _ in partial_lengths {
+    for _ in &clients {
         endpoint.next_request().respond_ok("first");
     }
-    for client in &mut clients {
-        assert_eq!(client.response().body, b"first");
+    for partial in &mut clients {
+        assert_eq!(partial.client.response().body, b"first");
     }
     edge.terminate();
     // Returns when idle connections close.
     assert!(idle.response_or_end().is_none());
-    for (client, length) in clients.iter_mut().zip(partial_lengths) {
-        client.send_raw(&second[length..]);
-        endpoint.next_request().respond_ok("second");
-        let response = client.response_or_end().expect("a response on the connection with a partial request");
-        assert_eq!((&response.body[..], response.header("connection")), (&b"second"[..], Some("close")));
+    // All at once: a connection that closes waits at most a second for the rest of a partial request.
+    for partial in &mut clients {
+        partial.send_rest();
+    }
+    for _ in &clients {
+        let received = endpoint.next_request();
+        let body = received.request_id().to_string();
+        received.respond_ok(&body);
+    }
+    for partial in &mut clients {
+        let response = partial.client.response_or_end();
+        let response = response.expect("a response on the connection with a partial request");
+        assert_eq!(response.body, partial.id.as_bytes());
+        assert_eq!(response.header("connection"), Some("close"));
     }
     assert!(edge.wait_for_end().status.success());
 }
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -68,11 +68,18 @@
     edge.terminate();
     // Returns when idle connections close.
     assert!(idle.response_or_end().is_none());
-    for (client, text) in [(&mut reused, on_reused), (&mut new, on_new)] {
-        client.send_raw(&text[30..]);
-        endpoint.next_request().respond_ok("served");
+    // Both at once: a connection that closes waits at most a second for the rest of a partial request.
+    reused.send_raw(&on_reused[30..]);
+    new.send_raw(&on_new[30..]);
+    for _ in 0..2 {
+        let received = endpoint.next_request();
+        let body = received.request_id().to_string();
+        received.respond_ok(&body);
+    }
+    for (mut client, id) in [(reused, "p-kept"), (new, "p-new")] {
         let response = client.response_or_end().expect("a response on the connection with a partial request");
-        assert_eq!((&response.body[..], response.header("connection")), (&b"served"[..], Some("close")));
+        assert_eq!(response.body, id.as_bytes());
+        assert_eq!(response.header("connection"), Some("close"));
     }
     assert!(edge.wait_for_end().status.success());
 }
