--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -17,7 +17,7 @@
 const UNLIMITED_MS: u64 = 600_000;
 const UNLIMITED_CONNECT_MICROS: u64 = 60_000_000;
 
-/// A client whose request is in progress at the node. Two clients ask under one id, in no certain order; the node
+/// A client whose request is in progress at the node. Two clients send it under one id, in no certain order; the node
 /// rejects the request that it reads second.
 fn client_in_progress(edge: &EdgeProcess, request: &RequestSpec) -> Client {
     let mut rejected = edge.connect();
@@ -33,14 +33,14 @@
     accepted
 }
 
-/// Closes the client's side and waits until the node has noticed: until it has closed its side, too.
+/// Closes the client's side and waits until the node has detected it: until it has closed its side, too.
 fn disconnect(mut client: Client) {
     client.close_write_half();
     assert_eq!(client.read_to_end(), "");
 }
 
-/// Asks under the id of a client that has disconnected. The id must be free, or this request is rejected.
-fn ask_again(edge: &EdgeProcess, request: &RequestSpec) -> Client {
+/// Sends a request under the id of a client that has disconnected. The id must be free, or this request is rejected.
+fn send_again(edge: &EdgeProcess, request: &RequestSpec) -> Client {
     let mut client = edge.connect();
     client.send(request);
     client
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_client_that_disconnects_behind_bytes_of_a_further_request_is_noticed() {
+fn client_disconnect_is_detected_behind_unread_bytes_of_a_further_request() {
     // The end of its connection is behind bytes that the node does not read before the response.
     for bytes_behind in [0, 30, 60_000] {
         let endpoint = FakeEndpoint::start();
@@ -63,7 +63,7 @@
         first.send_raw(&format!("{}{}", request.text(), "x".repeat(bytes_behind)));
         let mut increment = counter.next_call();
         disconnect(first);
-        let mut second = ask_again(&edge, &request);
+        let mut second = send_again(&edge, &request);
         increment.reply_total(increment.amount);
         // One request arrives, and it is the second client's.
         endpoint.next_request().respond_ok("second");
@@ -75,14 +75,14 @@
 
 #[test]
 fn a_request_that_waits_for_a_connection_is_not_sent_once_its_client_has_disconnected() {
-    // A connection that comes up late: the kernel drops the handshakes beyond a full backlog.
+    // A connection that is established late: the kernel drops the handshakes beyond a full backlog.
     let full_endpoint = FullEndpoint::new();
     let configuration = NodeConfiguration::new(&[active("s-1", full_endpoint.address)]);
     let edge = configuration.connect_timeout(UNLIMITED_CONNECT_MICROS).start();
     let request = without_time_limit("post", "p-1");
     disconnect(client_in_progress(&edge, &request));
-    let mut second = ask_again(&edge, &request);
-    // Only now does a connection come up. The request on it is the second client's.
+    let mut second = send_again(&edge, &request);
+    // Only now is a connection established. The request on it is the second client's.
     let endpoint = full_endpoint.accept_all();
     endpoint.next_request().respond_ok("second");
     assert_eq!(second.response().body, b"second");
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn no_further_attempt_begins_for_a_disconnected_client_whatever_is_behind_its_request() {
+fn disconnected_client_gets_no_further_attempt_whatever_bytes_follow_its_request() {
     let nothing = String::new();
     let complete_request = request("lookup", "behind").text();
     let partial_request = request("post", "behind").text()[..40].to_string();
@@ -154,7 +154,7 @@
     let [first, mut second] = edge.connect_having_sent([first_request, both_requests]);
     assert_eq!(second.response().status(), 409, "the first client's request is in progress");
     disconnect(first);
-    // Its descriptor comes free, and the attempt behind its own gets it.
+    // Its descriptor is released, and the attempt queued behind its own gets it.
     let request = new_endpoint.next_request();
     assert_eq!(request.request_id(), "second");
     request.respond_ok("second");
@@ -223,7 +223,7 @@
     // The node knows no endpoint, so the request is queued.
     let request = without_time_limit("post", "p-1");
     disconnect(client_in_progress(&edge, &request));
-    let mut second = ask_again(&edge, &request);
+    let mut second = send_again(&edge, &request);
     discovery.publish(active("s-1", endpoint.address));
     endpoint.next_request().respond_ok("second");
     assert_eq!(second.response().body, b"second");
@@ -231,7 +231,7 @@
     endpoint.assert_no_request_until_node_ended();
 }
 
-/// An endpoint with a full backlog: no further connection to it comes up until it accepts.
+/// An endpoint with a full backlog: no further connection to it is established until it accepts.
 struct FullEndpoint {
     address: SocketAddr,
     listener: TcpListener,
--- a/tests/connection_close_races.rs
+++ b/tests/connection_close_races.rs
@@ -7,8 +7,8 @@
 
 use edge_node::net::downstream::pipeline::Pipeline;
 use fakes::{
-    active, next_request_at_any, request, Client, FakeEndpoint, NodeConfiguration, ReceivedRequest,
-    RequestSpec,
+    active, assert_failed, next_request_at_any, request, Client, FakeEndpoint, NodeConfiguration,
+    ReceivedRequest, RequestSpec,
 };
 
 /// A client that sends a request in two parts, the first of them behind a complete request.
@@ -125,8 +125,7 @@
     };
     client.send(&request("post", "p-1"));
     reset_next();
-    let response = client.response();
-    assert!(response.status() != 200 && !response.is_rejected(), "{}", response.first);
+    assert_failed(&client.response());
     // A request that is safe to repeat is sent once more.
     client.send(&request("lookup", "l-1"));
     reset_next();
@@ -142,7 +141,7 @@
 #[test]
 fn a_keyed_request_that_may_have_run_is_not_repeated_where_connecting_may_outlast_the_deduplication_window() {
     let endpoint = FakeEndpoint::start();
-    // The window still holds when the connection breaks, but not when a new one comes up at the latest.
+    // The window still holds when the connection breaks, but not at the latest time at which a new one is established.
     let edge = NodeConfiguration::new(&[active("s-1", endpoint.address)])
         .deduplication_window(30_000_000)
         .connect_timeout(30_000_000)
@@ -150,8 +149,7 @@
     let mut client = edge.connect();
     client.send(&request("slip", "k-1"));
     endpoint.next_request().close();
-    let response = client.response();
-    assert!(response.status() != 200 && !response.is_rejected(), "{}", response.first);
+    assert_failed(&client.response());
     endpoint.assert_no_request();
 }
 
@@ -227,7 +225,8 @@
         client.send_raw(&request("lookup", "behind").text().repeat(copies));
         in_flight.respond_ok("first");
         let response = client.response();
-        assert_eq!((&response.body[..], response.header("connection")), (&b"first"[..], Some("close")));
+        assert_eq!(response.body, b"first");
+        assert_eq!(response.header("connection"), Some("close"));
         assert_eq!(client.read_to_end(), "");
         assert!(edge.wait_for_end().status.success());
         endpoint.assert_no_request();
--- a/tests/descriptor_exhaustion.rs
+++ b/tests/descriptor_exhaustion.rs
@@ -1,4 +1,4 @@
-//! All descriptors taken while discovery and the counter service are down. The kernel itself enforces the limit.
+//! All descriptors in use while discovery and the counter service are down. The kernel itself enforces the limit.
 
 mod fakes;
 
--- a/tests/endpoint_lists/delta.rs
+++ b/tests/endpoint_lists/delta.rs
@@ -52,7 +52,7 @@
     engine.handle(NOW, Event::EndpointsUpdated { kind, entries }, &mut Vec::new());
 }
 
-/// The endpoints that the decisions send requests to, where no response comes.
+/// The endpoints that the decisions send requests to, where no response arrives.
 fn endpoints_used(engine: &mut DecisionEngine, requests: usize) -> BTreeSet<EndpointId> {
     let mut actions = Vec::new();
     for number in 0..requests {
@@ -133,7 +133,9 @@
         assert_eq!(delta.len(), 8);
         let entry = delta.iter().find(|entry| entry.state == EndpointState::Removed).expect("a removed one");
         let cell = removed["group"].as_u64().expect("a cell") as u32;
-        assert_eq!((entry.id, entry.zone, entry.cell), (id(20), 0, cell));
+        assert_eq!(entry.id, id(20));
+        assert_eq!(entry.zone, 0);
+        assert_eq!(entry.cell, cell);
     }
 }
 
--- a/tests/endpoint_lists/lists.rs
+++ b/tests/endpoint_lists/lists.rs
@@ -13,7 +13,7 @@
 
 /// How many endpoints a list names.
 pub const SIZES: [usize; 3] = [200, 4_600, 46_000];
-/// The longest list to come.
+/// How many endpoints the longest list expected names.
 pub const LONGEST: usize = SIZES[2];
 
 /// The name of an endpoint, as the protocol has it.
@@ -68,8 +68,3 @@
     assert!((8 << 20..MAX_LIST_BYTES).contains(&text.len()), "{} bytes", text.len());
     text
 }
-
-/// A response with this body.
-pub fn response(body: &str) -> String {
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
-}
--- a/tests/endpoint_lists/main.rs
+++ b/tests/endpoint_lists/main.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists: how they are read and applied, up to the longest to come.
+//! Endpoint lists: how they are read and applied, up to the longest expected.
 
 #[path = "../fakes/mod.rs"]
 mod fakes;
--- a/tests/endpoint_lists/node.rs
+++ b/tests/endpoint_lists/node.rs
@@ -27,19 +27,23 @@
 use crate::fakes::{node_settings, FakeEndpoint, ReceivedRequest, TEST_TIMEOUT};
 use crate::lists::{id, labels, name};
 
-/// In so many turns of the runtime what was sent on a loopback connection has been read.
+/// Turns of the runtime in which what was sent on a loopback connection has been read.
 const TURNS: usize = 20;
 /// How long an attempt may take, in microseconds.
 const ATTEMPT_TIME: u64 = 20_000_000;
 
 /// A node in this process that knows nothing yet.
 pub struct Node {
+    /// Its event loop.
     pub event_loop: Rc<EventLoop>,
+    /// Its client of discovery.
     pub discovery: Rc<Discovery>,
+    /// Where discovery sends its events: the event loop.
     pub events: Rc<dyn EventSink>,
 }
 
 impl Node {
+    /// A node that calls this agent once it is started.
     pub fn new(agent: &FakeEndpoint) -> Node {
         let document: SettingsDocument = serde_json::from_value(node_settings()).expect("settings");
         let settings = Settings::from(document);
@@ -52,25 +56,29 @@
         Node { events: event_loop.clone(), event_loop, discovery }
     }
 
-    /// Such a node that watches.
+    /// A node that watches at this agent.
     pub fn started(agent: &FakeEndpoint) -> Node {
         let node = Node::new(agent);
         node.discovery.start(&node.events, EndpointList::default());
         node
     }
 
+    /// Its connections to endpoints and the endpoints that it knows.
     pub fn upstreams(&self) -> &Upstreams {
         &self.event_loop.upstreams
     }
 
+    /// The endpoints that it knows.
     pub fn endpoints(&self) -> Arc<Endpoints> {
         self.upstreams().endpoints()
     }
 
+    /// Whether it knows the endpoint of this number.
     pub fn knows(&self, number: usize) -> bool {
         self.endpoints().find(&name(number)).is_some()
     }
 
+    /// Whether a list was published in part.
     pub fn is_publishing(&self) -> bool {
         self.upstreams().is_replacing_endpoints()
     }
@@ -96,17 +104,17 @@
         .await
     }
 
-    /// The outcomes of attempts at the endpoints of these numbers. So many of them reach each of the servers, which
-    /// responds.
+    /// The outcomes of attempts at the endpoints of these numbers. Each of the fake endpoints receives and answers the
+    /// given number of them.
     pub async fn attempts(&self, numbers: &[usize], served: &[(&FakeEndpoint, usize)]) -> Vec<Outcome> {
         let mut attempts = Vec::new();
         for &number in numbers {
             attempts.push(spawn_local(attempt(self.event_loop.clone(), number)));
         }
         some_turns().await;
-        for &(server, count) in served {
+        for &(endpoint, count) in served {
             for _ in 0..count {
-                server.next_request().respond_ok("ok");
+                endpoint.next_request().respond_ok("ok");
             }
         }
         let mut outcomes = Vec::new();
@@ -151,26 +159,29 @@
     }
 }
 
+/// Lets the node's tasks run for some turns of the runtime.
 pub async fn some_turns() {
     for _ in 0..TURNS {
         yield_now().await;
     }
 }
 
+/// Whether a call watches from this version.
 pub fn is_watch_from(call: &ReceivedRequest, version: u64) -> bool {
     call.message.first.contains(&format!("after={version}&"))
 }
 
+/// Whether a call fetches the full list.
 pub fn is_fetch(call: &ReceivedRequest) -> bool {
     !call.message.first.contains("after=")
 }
 
-/// The next watch from this version, if it has come by now.
+/// The next watch from this version, if it has arrived by now.
 pub fn watch_from(agent: &FakeEndpoint, version: u64) -> Option<ReceivedRequest> {
     agent.poll_request().filter(|call| is_watch_from(call, version))
 }
 
-/// The next call, which may still have to be made. Its reader's thread is waited for while no part is published.
+/// The next call, which the node may still have to make. Its reader's thread is waited for while no part is published.
 pub async fn next_call(agent: &FakeEndpoint) -> ReceivedRequest {
     for _ in 0..TURNS {
         if let Some(call) = agent.poll_request() {
--- a/tests/endpoint_lists/process.rs
+++ b/tests/endpoint_lists/process.rs
@@ -7,9 +7,10 @@
 use serde_json::{json, Value};
 
 use crate::fakes::{
-    active, next_request_at_any, request, unreachable_address, EdgeProcess, FakeEndpoint, NodeConfiguration,
+    active, next_request_at_any, ok_response, request, unreachable_address, EdgeProcess, FakeEndpoint,
+    NodeConfiguration,
 };
-use crate::lists::{longest_list, response, snapshot};
+use crate::lists::{longest_list, snapshot};
 use crate::snapshot::COLLIDING_NAMES;
 
 /// Longer than a connection stays unused after a response.
@@ -30,7 +31,7 @@
 }
 
 /// Responds with this list to watches from one version, until the node watches from the other. On a slow machine a
-/// watch may have timed out before its response was complete; it comes again then.
+/// watch may have timed out before its response was complete; the node repeats it then.
 fn respond_until_applied(agent: &FakeEndpoint, from_version: u64, to_version: u64, list: &str) {
     let watch_from = format!("after={from_version}&");
     let watch_to = format!("after={to_version}&");
@@ -38,10 +39,10 @@
         let call = agent.next_request();
         if call.message.first.contains(&watch_to) {
             let unchanged = json!({"index": to_version, "snapshot": false, "endpoints": []}).to_string();
-            return call.send_raw(response(&unchanged).as_bytes());
+            return call.send_raw(ok_response(&unchanged).as_bytes());
         }
         if call.message.first.contains(&watch_from) {
-            call.send_raw(response(list).as_bytes());
+            call.send_raw(ok_response(list).as_bytes());
         }
     }
 }
@@ -66,18 +67,18 @@
     let mut node = start(&[active("s-1", unreachable_address())]);
     respond_until_applied(&node.agent, 1, 2, &first_list);
     assert_served_by(&first, &node.edge, "p-1");
-    while !node.edge.next_log_line().contains("malformed entry") {}
+    node.edge.wait_for_log_line("malformed entry");
     respond_until_applied(&node.agent, 2, 3, &second_list);
     assert_served_by(&second, &node.edge, "p-2");
     first.assert_no_request();
 }
 
 #[test]
-fn a_long_list_overtaken_by_a_move_of_discovery_undoes_nothing() {
+fn long_list_received_during_a_move_of_discovery_does_not_undo_the_new_list() {
     let old = FakeEndpoint::start();
     let new = FakeEndpoint::start();
     let new_agent = FakeEndpoint::start();
-    let list_of_old_agent = response(&longest_list(9, &old));
+    let list_of_old_agent = ok_response(&longest_list(9, &old));
     let Node { edge, agent, configuration } = start(&[active("s-1", old.address)]);
     // Both the fetch and the watch: the move finds the long list on its way, half prepared or applied.
     agent.next_request().send_raw(list_of_old_agent.as_bytes());
@@ -89,7 +90,7 @@
         if call.message.first.contains("after=3&") {
             break;
         }
-        call.send_raw(response(&list).as_bytes());
+        call.send_raw(ok_response(&list).as_bytes());
     }
     for number in 0..3 {
         assert_served_by(&new, &edge, &format!("p-{number}"));
@@ -113,7 +114,7 @@
     respond_until_applied(&agent, 2, 3, &snapshot(3, &both).to_string());
     for number in 0..20 {
         let used = assert_served_by(&endpoint, &edge, &format!("q-{number}"));
-        assert_ne!(used, connection, "a connection to the endpoint that was there before");
+        assert_ne!(used, connection, "a connection to the endpoint that had the address before");
     }
 }
 
--- a/tests/endpoint_lists/publication.rs
+++ b/tests/endpoint_lists/publication.rs
@@ -10,30 +10,31 @@
 use serde_json::{json, Value};
 use tokio::task::{spawn_local, yield_now};
 
-use crate::fakes::{active, endpoint_entry, FakeEndpoint};
-use crate::lists::{all_up, labels, longest_list, name, numbered, read, response, snapshot, LONGEST};
+use crate::fakes::{active, endpoint_entry, ok_response, FakeEndpoint};
+use crate::lists::{all_up, labels, longest_list, name, numbered, read, snapshot, LONGEST};
 use crate::node::{
     is_fetch, is_watch_from, next_call, on_one_thread, send, some_turns, until, until_prepared,
     until_preparing, watch_from, Node,
 };
 
-/// So many endpoints make a long list, and a delta of some tens of parts.
+/// How many endpoints make a long list, with a delta of some tens of parts.
 const LONG: usize = 12_000;
-/// A long list of endpoints from this number on, all at this server, and of others.
-fn long_list(version: u64, first: usize, server: &FakeEndpoint, others: &[Value]) -> String {
+
+/// A long list of endpoints from this number on, all at this fake endpoint, and of others.
+fn long_list(version: u64, first: usize, endpoint: &FakeEndpoint, others: &[Value]) -> String {
     let mut entries = Vec::new();
     for number in first..first + LONG {
-        entries.push(active(&name(number), server.address));
+        entries.push(active(&name(number), endpoint.address));
     }
     entries.extend_from_slice(others);
-    response(&snapshot(version, &entries).to_string())
+    ok_response(&snapshot(version, &entries).to_string())
 }
 
 #[test]
 fn a_list_prepared_while_discovery_moves_is_dropped() {
     let agent = FakeEndpoint::start();
     let new_agent = FakeEndpoint::start();
-    let list_of_old_agent = response(&longest_list(9, &agent));
+    let list_of_old_agent = ok_response(&longest_list(9, &agent));
     on_one_thread(async {
         let node = Node::started(&agent);
         until(|| watch_from(&agent, 0)).await;
@@ -45,7 +46,7 @@
         node.discovery.move_to(&node.events, new_agent.address);
         until_prepared(&known).await;
         assert!(node.endpoints().is_empty(), "a list of the old agent was applied after the move");
-        let list = response(&snapshot(3, &all_up([1])).to_string());
+        let list = ok_response(&snapshot(3, &all_up([1])).to_string());
         // Calls that have timed out meanwhile get a response, too.
         until(|| {
             let call = new_agent.poll_request()?;
@@ -64,7 +65,7 @@
 fn a_long_delta_does_not_undo_what_was_applied_while_it_was_prepared() {
     let agent = FakeEndpoint::start();
     let delta = json!({"index": 2, "snapshot": false, "endpoints": all_up(0..LONGEST)});
-    let long_delta = response(&delta.to_string());
+    let long_delta = ok_response(&delta.to_string());
     on_one_thread(async {
         let node = Node::started(&agent);
         let watch = until(|| watch_from(&agent, 0)).await;
@@ -87,8 +88,9 @@
     let second = FakeEndpoint::start();
     let draining = 2 * LONG;
     let moving = 2 * LONG + 1;
-    let listed =
-        |number, server: &FakeEndpoint, status| endpoint_entry(&name(number), server.address, "a", status);
+    let listed = |number, endpoint: &FakeEndpoint, status| {
+        endpoint_entry(&name(number), endpoint.address, "a", status)
+    };
     let before = [listed(draining, &first, "up"), listed(moving, &first, "up")];
     let after = [listed(draining, &first, "draining"), listed(moving, &second, "up")];
     let first_list = long_list(2, 0, &first, &before);
@@ -97,7 +99,7 @@
         let node = Node::started(&agent);
         node.publish_first_part(&agent, 0, &first_list).await;
         node.publish_the_rest().await;
-        // One gets a connection that is kept.
+        // One gets a connection that is kept open.
         assert_eq!(node.attempts(&[7], &[(&first, 1)]).await, [Outcome::Ok]);
         node.publish_first_part(&agent, 2, &second_list).await;
         let numbers = [7, 8, LONG + 7, moving, draining];
@@ -115,9 +117,9 @@
 #[test]
 fn other_tasks_get_a_turn_between_any_two_parts_and_an_unchanged_list_has_no_parts() {
     let agent = FakeEndpoint::start();
-    let server = FakeEndpoint::start();
-    let first_list = long_list(2, 0, &server, &[]);
-    let second_list = long_list(3, LONG, &server, &[]);
+    let endpoint = FakeEndpoint::start();
+    let first_list = long_list(2, 0, &endpoint, &[]);
+    let second_list = long_list(3, LONG, &endpoint, &[]);
     on_one_thread(async {
         let node = Node::started(&agent);
         // The second list replaces all endpoints of the first.
@@ -126,7 +128,7 @@
             let turns = node.publish_the_rest().await;
             assert!(turns + 1 >= delta_entries.div_ceil(ENTRIES_PER_PART));
         }
-        let unchanged = long_list(4, LONG, &server, &[]);
+        let unchanged = long_list(4, LONG, &endpoint, &[]);
         let next_call = until(|| {
             assert!(!node.is_publishing(), "the same list again");
             let call = agent.poll_request()?;
@@ -141,11 +143,11 @@
 }
 
 #[test]
-fn a_move_between_two_parts_leaves_no_half_list_and_no_version_of_the_old_agent() {
+fn move_between_two_parts_completes_the_list_and_drops_the_version_of_the_old_agent() {
     let agent = FakeEndpoint::start();
     let new_agent = FakeEndpoint::start();
-    let server = FakeEndpoint::start();
-    let list = long_list(9, 0, &server, &[]);
+    let endpoint = FakeEndpoint::start();
+    let list = long_list(9, 0, &endpoint, &[]);
     on_one_thread(async {
         let node = Node::started(&agent);
         node.publish_first_part(&agent, 0, &list).await;
@@ -156,7 +158,7 @@
         assert_eq!(node.endpoints().len(), LONG);
         call.send_raw(b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
         let call = until(|| new_agent.poll_request()).await;
-        assert!(is_fetch(&call), "asked from the old agent's version");
+        assert!(is_fetch(&call), "watched from the old agent's version");
         call.respond_ok(&snapshot(3, &all_up([1])).to_string());
         until(|| watch_from(&new_agent, 3)).await;
         assert_eq!(node.endpoints().len(), 1);
@@ -166,9 +168,9 @@
 /// Publishes a part of a list of version 9, and fetches another list of this version between two parts.
 fn fetch_between_two_parts(version: u64, fetched: impl FnOnce(&FakeEndpoint) -> String) {
     let agent = FakeEndpoint::start();
-    let server = FakeEndpoint::start();
-    let list = long_list(9, 0, &server, &[]);
-    let fetched = fetched(&server);
+    let endpoint = FakeEndpoint::start();
+    let list = long_list(9, 0, &endpoint, &[]);
+    let fetched = fetched(&endpoint);
     on_one_thread(async {
         let node = Node::started(&agent);
         until(|| agent.poll_request().filter(is_fetch)).await;
@@ -195,7 +197,7 @@
 fn a_short_list_received_between_two_parts_is_applied_after_the_last_unless_it_is_older() {
     for version in [8, 10] {
         fetch_between_two_parts(version, |_| {
-            response(&snapshot(version, &[numbered(LONG, "up")]).to_string())
+            ok_response(&snapshot(version, &[numbered(LONG, "up")]).to_string())
         });
     }
 }
@@ -203,7 +205,7 @@
 #[test]
 fn a_long_list_received_between_two_parts_is_applied_after_the_last_unless_it_is_older() {
     for version in [8, 10] {
-        fetch_between_two_parts(version, |server| long_list(version, LONG, server, &[]));
+        fetch_between_two_parts(version, |endpoint| long_list(version, LONG, endpoint, &[]));
     }
 }
 
--- a/tests/endpoint_lists/snapshot.rs
+++ b/tests/endpoint_lists/snapshot.rs
@@ -55,7 +55,8 @@
         let last = with_snapshot(&next.endpoints, &all_up(size + 1..=2 * size));
         let difference = ListDifference { added: size, removed: size, ..ListDifference::default() };
         assert_eq!(last.difference, difference);
-        assert_eq!((last.endpoints.len(), last.entries.len()), (size, size));
+        assert_eq!(last.endpoints.len(), size);
+        assert_eq!(last.entries.len(), size);
     }
 }
 
@@ -87,19 +88,19 @@
 }
 
 #[test]
-fn deltas_in_place_deltas_beside_and_a_snapshot_come_to_the_same() {
+fn delta_in_place_delta_on_a_copy_and_snapshot_give_the_same_endpoints() {
     let mut known = with_snapshot(&Endpoints::default(), &all_up(0..40)).endpoints;
     let mut random = Rng::with_seed(12);
     for _ in 0..300 {
         let delta = random_delta(&mut random);
-        let beside = known.with_delta(read(&delta).entries(), &labels());
+        let on_copy = known.with_delta(read(&delta).entries(), &labels());
         let in_place = apply_delta(&mut known, &delta);
-        let notified: Notified = beside.entries.iter().map(|entry| (entry.id, entry.state)).collect();
+        let notified: Notified = on_copy.entries.iter().map(|entry| (entry.id, entry.state)).collect();
         assert_eq!(notified, in_place.notified);
-        assert_eq!(beside.stale, in_place.stale);
+        assert_eq!(on_copy.stale, in_place.stale);
         // The same again as a full list differs in nothing.
         let all = listed(&known);
-        for endpoints in [&known, &beside.endpoints] {
+        for endpoints in [&known, &on_copy.endpoints] {
             let same = ListDifference { unchanged: all.len(), ..ListDifference::default() };
             assert_eq!(with_snapshot(endpoints, &all).difference, same);
         }
@@ -107,11 +108,12 @@
 }
 
 #[test]
-fn a_delta_entry_for_an_unknown_endpoint_adds_it_or_is_passed_over() {
+fn delta_entry_for_an_unknown_endpoint_adds_it_or_is_skipped() {
     let mut known = with_snapshot(&Endpoints::default(), &all_up([1])).endpoints;
     let without_address = json!({"name": "s-3", "status": "up"});
-    let passed_over = apply_delta(&mut known, &[numbered(2, "removed"), without_address]);
-    assert!(passed_over.notified.is_empty() && passed_over.stale.is_empty());
+    let skipped = apply_delta(&mut known, &[numbered(2, "removed"), without_address]);
+    assert!(skipped.notified.is_empty());
+    assert!(skipped.stale.is_empty());
     let added = apply_delta(&mut known, &[numbered(2, "draining")]);
     assert_eq!(added.notified, [(id(2), EndpointState::Draining)]);
     assert_eq!(known.len(), 2);
@@ -138,7 +140,7 @@
 #[test]
 fn names_with_one_hash_have_different_ids() {
     let [first, second] = COLLIDING_NAMES.map(endpoint_id);
-    assert_eq!(first.0 >> 32, second.0 >> 32, "the names of this test");
+    assert_eq!(first.0 >> 32, second.0 >> 32, "the hashes of both names");
     assert_ne!(first, second);
 }
 
@@ -174,13 +176,16 @@
     let mut entries = all_up(0..LONGEST);
     entries[LONGEST / 2]["status"] = json!(7);
     let list = read(&entries);
-    assert_eq!((list.entries().len(), list.faults().count()), (LONGEST - 1, 1));
+    assert_eq!(list.entries().len(), LONGEST - 1);
+    assert_eq!(list.faults().count(), 1);
     assert!(list.is_usable());
     let malformed = read(&vec![json!({"name": 7}); LONGEST]);
-    assert_eq!((malformed.entries().len(), malformed.faults().count()), (0, LONGEST));
+    assert_eq!(malformed.entries().len(), 0);
+    assert_eq!(malformed.faults().count(), LONGEST);
     assert!(!malformed.is_usable());
     assert_eq!(malformed.faults().lines().count(), MAX_LOGGED_FAULTS + 1);
     let without_address = vec![json!({"name": "s-1", "status": "up"}); 3];
     let applied = with_snapshot(&Endpoints::default(), &without_address);
-    assert_eq!((applied.entries.len(), applied.faults.count()), (0, 1), "of one name only one entry counts");
+    assert_eq!(applied.entries.len(), 0);
+    assert_eq!(applied.faults.count(), 1, "of one name only one entry counts");
 }
--- a/tests/fakes/client.rs
+++ b/tests/fakes/client.rs
@@ -75,7 +75,7 @@
         self.stream.shutdown(Shutdown::Write).expect("an open connection");
     }
 
-    /// Waits for the connection's end and returns what came before it.
+    /// Waits for the connection's end and returns what arrived before it.
     pub fn read_to_end(mut self) -> String {
         let mut rest = Vec::new();
         match self.reader.read_to_end(&mut rest) {
--- a/tests/fakes/configuration.rs
+++ b/tests/fakes/configuration.rs
@@ -100,7 +100,7 @@
         self
     }
 
-    /// Sets the time within which a connection to an endpoint must come up, in microseconds.
+    /// Sets the time within which a connection to an endpoint must be established, in microseconds.
     pub fn connect_timeout(mut self, micros: u64) -> Self {
         self.0["settings"]["bounds"]["connect_timeout"] = json!(micros);
         self
--- a/tests/fakes/counter.rs
+++ b/tests/fakes/counter.rs
@@ -20,7 +20,7 @@
 }
 
 impl CounterCall {
-    /// The node's end of the connection that it came on.
+    /// The node's end of the connection that it arrived on.
     pub fn node_address(&self) -> SocketAddr {
         self.stream.peer_addr().expect("a peer")
     }
--- a/tests/fakes/discovery.rs
+++ b/tests/fakes/discovery.rs
@@ -8,6 +8,7 @@
 
 use serde_json::{json, Value};
 
+use super::endpoint::{FakeEndpoint, ReceivedRequest};
 use super::http::{ok_response, read_message, HttpMessage};
 use super::TEST_TIMEOUT;
 
@@ -27,7 +28,7 @@
     watched_versions: Vec<u64>,
     connections: Vec<TcpStream>,
     silent: bool,
-    /// The response to a fetch of the whole list; without one a fetch is never answered.
+    /// The response to a fetch of the full list; without one a fetch is never answered.
     snapshot: Option<Vec<Value>>,
 }
 
@@ -131,8 +132,19 @@
     }
 }
 
-/// The version that a call watches from; none if it fetches the whole list.
-fn watched_version(call: &HttpMessage) -> Option<u64> {
+/// The next watch at a fake endpoint in the place of discovery. Fetches of the full list that arrive before it get no
+/// response.
+pub fn next_watch(discovery: &FakeEndpoint) -> ReceivedRequest {
+    loop {
+        let call = discovery.next_request();
+        if watched_version(&call.message).is_some() {
+            return call;
+        }
+    }
+}
+
+/// The version that a call watches from; none if it fetches the full list.
+pub fn watched_version(call: &HttpMessage) -> Option<u64> {
     let (_, after) = call.first.split_once("after=")?;
     let version = after.split('&').next().and_then(|digits| digits.parse().ok());
     Some(version.expect("a version"))
--- a/tests/fakes/edge_process.rs
+++ b/tests/fakes/edge_process.rs
@@ -131,6 +131,15 @@
         line
     }
 
+    /// Waits for a line of the log that contains this text.
+    pub fn wait_for_log_line(&mut self, text: &str) {
+        loop {
+            if self.next_log_line().contains(text) {
+                return;
+            }
+        }
+    }
+
     /// Starts a graceful shutdown.
     pub fn terminate(&self) {
         self.signal("TERM");
--- a/tests/fakes/endpoint.rs
+++ b/tests/fakes/endpoint.rs
@@ -1,4 +1,4 @@
-//! A fake endpoint (app server) whose every response the test gives itself.
+//! A fake endpoint whose every response the test gives itself.
 
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -23,7 +23,7 @@
         self.message.header("x-request-id").expect("an id")
     }
 
-    /// The node's end of the connection that it came on.
+    /// The node's end of the connection that it arrived on.
     pub fn node_address(&self) -> SocketAddr {
         self.stream.peer_addr().expect("a peer")
     }
@@ -71,10 +71,10 @@
         self.stream.shutdown(Shutdown::Both).expect("an open connection");
     }
 
-    /// Panics: the request must not have come.
+    /// Panics: the request must not have arrived.
     fn fail_unexpected(&self) -> ! {
         let id = self.message.header("x-request-id");
-        panic!("a request that should not have come: {id:?}, {:?}", self.message.first);
+        panic!("a request that should not have arrived: {id:?}, {:?}", self.message.first);
     }
 }
 
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Asserts that no request has come up to the last byte that the node has sent. The node must have ended.
+    /// Asserts that no request has arrived up to the last byte that the node has sent. The node must have ended.
     pub fn assert_no_request_until_node_ended(self) {
         self.end_listener();
         // The events end with the last reader.
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Ends the listener once it has accepted all that came before this call. Connections are accepted in their
+    /// Ends the listener once it has accepted all that arrived before this call. Connections are accepted in their
     /// order, so what the node has opened comes before the connection that this opens.
     fn end_listener(&self) {
         let socket =
--- a/tests/fakes/setups.rs
+++ b/tests/fakes/setups.rs
@@ -8,16 +8,23 @@
 
 /// A node with one endpoint, and a client.
 pub struct OneEndpoint {
+    /// The only endpoint of the node's list.
     pub endpoint: FakeEndpoint,
+    /// The node.
     pub edge: EdgeProcess,
+    /// A connected client.
     pub client: Client,
 }
 
 /// A node with two endpoints, and a client.
 pub struct TwoEndpoints {
+    /// The endpoint in the node's own zone.
     pub first: FakeEndpoint,
+    /// The endpoint in the zone that the test names.
     pub second: FakeEndpoint,
+    /// The node.
     pub edge: EdgeProcess,
+    /// A connected client.
     pub client: Client,
 }
 
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -13,8 +13,8 @@
 };
 
 #[test]
-fn however_short_the_deadlines_a_shutdown_answers_the_requests_in_progress() {
-    // Reckoned from the longest deadline alone, the end of the shutdown would come before the listener closes.
+fn shutdown_answers_requests_in_progress_however_short_the_timeouts() {
+    // Computed from the longest timeout alone, the end of the shutdown would come before the listener closes.
     for micros in [1_000, 50_000, 200_000, 500_000] {
         let endpoint = FakeEndpoint::start();
         let edge = NodeConfiguration::new(&[active("s-1", endpoint.address)]).total_timeout(micros).start();
@@ -23,7 +23,7 @@
         let _in_flight = endpoint.next_request();
         edge.terminate();
         let response = client.response_or_end().expect("a complete response before the process ends");
-        assert_eq!(response.status(), 502, "deadlines of {micros}");
+        assert_eq!(response.status(), 502, "timeouts of {micros} us");
         assert!(edge.wait_for_end().status.success());
     }
 }
@@ -96,7 +96,8 @@
     client.send_raw(&"x".repeat(100_000));
     in_flight.respond_ok(&"y".repeat(64 * 1024));
     let response = client.response();
-    assert_eq!((response.status(), response.body.len()), (200, 64 * 1024));
+    assert_eq!(response.status(), 200);
+    assert_eq!(response.body.len(), 64 * 1024);
     assert!(client.is_closed_cleanly(), "the connection was reset");
 }
 
--- a/tests/list_notification_deadline.rs
+++ b/tests/list_notification_deadline.rs
@@ -1,13 +1,16 @@
-//! When a change of the endpoint list counts as notified: whatever became of a call to discovery, the next one comes
-//! in time to bring it. The fake peer ends each call by hand, where an agent holds the list and where all nodes call
-//! one discovery.
+//! When a change of the endpoint list counts as notified: however a call to discovery ended, the next one starts in
+//! time to bring the change. The tests end each call by hand, with an agent that holds the list and with one discovery
+//! that all nodes share.
 
 mod fakes;
 
 use std::time::Instant;
 
 use edge_node::net::discovery::timeout::NOTIFIED_AFTER;
-use fakes::{active, request, EdgeProcess, FakeEndpoint, NodeConfiguration, ReceivedRequest};
+use fakes::{
+    active, next_watch, request, watched_version, EdgeProcess, FakeEndpoint, NodeConfiguration,
+    ReceivedRequest,
+};
 use serde_json::{json, Value};
 
 /// Where a node gets its list from.
@@ -28,23 +31,6 @@
     }
 }
 
-/// The version that a call watches from; none for a call for the full list.
-fn version_watched_from(call: &ReceivedRequest) -> Option<u64> {
-    let (_, after) = call.message.first.split_once("after=")?;
-    let version = after.split('&').next().expect("a version");
-    Some(version.parse().expect("a number"))
-}
-
-/// The next watch. Calls for the full list that come before it get no response.
-fn next_watch(peer: &FakeEndpoint) -> ReceivedRequest {
-    loop {
-        let call = peer.next_request();
-        if version_watched_from(&call).is_some() {
-            return call;
-        }
-    }
-}
-
 /// Ends a call without a list that can be applied.
 type EndCall = fn(&FakeEndpoint, ReceivedRequest);
 
@@ -62,7 +48,7 @@
 ];
 
 #[test]
-fn the_next_call_brings_what_a_failed_one_missed_however_it_failed() {
+fn call_after_a_failed_one_brings_the_missed_change_however_it_failed() {
     for discovery in [Discovery::Agent, Discovery::SharedBy(4)] {
         let endpoints = [FakeEndpoint::start(), FakeEndpoint::start()];
         let peer = FakeEndpoint::start();
@@ -71,17 +57,17 @@
         let mut client = edge.connect();
         for (row, end_call) in CALL_ENDS.into_iter().enumerate() {
             let call = next_watch(&peer);
-            let version = version_watched_from(&call).expect("a watch");
+            let version = watched_version(&call.message).expect("a watch");
             end_call(&peer, call);
             let retry = next_watch(&peer);
-            assert_eq!(version_watched_from(&retry), Some(version), "row {row}: something was applied");
+            assert_eq!(watched_version(&retry.message), Some(version), "row {row}: something was applied");
             // An endpoint that a full list doesn't name is removed.
             let index = (row + 1) % 2;
             let list = json!({"index": version + 1, "snapshot": true, "endpoints": [listed(index)]});
             retry.respond_ok(&list.to_string());
             // It watches on from that version, so it has applied the list.
             let watch = next_watch(&peer);
-            assert_eq!(version_watched_from(&watch), Some(version + 1), "row {row}");
+            assert_eq!(watched_version(&watch.message), Some(version + 1), "row {row}");
             client.send(&request("post", &format!("{discovery:?}-{row}")));
             endpoints[index].next_request().respond_ok("ok");
             assert_eq!(client.response().status(), 200);
@@ -106,19 +92,19 @@
 fn a_silent_watch_is_replaced_before_what_it_missed_counts_as_notified() {
     let peers = [FakeEndpoint::start(), FakeEndpoint::start()];
     let _nodes = [node(&[], &peers[0], Discovery::Agent), node(&[], &peers[1], Discovery::SharedBy(4))];
-    // Silent from its begin: that leaves the least time.
+    // Silent from its start: that leaves the least time.
     let silent_watches = peers.each_ref().map(keep_silent);
     for (silent, peer) in silent_watches.iter().zip(&peers) {
         let next = next_watch(peer);
         let elapsed = silent.began_at.elapsed();
         assert!(elapsed < NOTIFIED_AFTER, "after {elapsed:?}");
-        assert_eq!(version_watched_from(&next), version_watched_from(&silent.call));
+        assert_eq!(watched_version(&next.message), watched_version(&silent.call.message));
         assert_ne!(next.node_address(), silent.call.node_address(), "asked on the silent connection");
     }
 }
 
 #[test]
-fn a_silent_watch_of_one_of_many_nodes_is_replaced_in_time_as_well() {
+fn silent_watch_is_replaced_in_time_where_many_nodes_share_one_discovery() {
     let peer = FakeEndpoint::start();
     let _node = node(&[], &peer, Discovery::SharedBy(30));
     let silent = keep_silent(&peer);
--- a/tests/node_counter_calls.rs
+++ b/tests/node_counter_calls.rs
@@ -101,8 +101,8 @@
         }
     };
     assert_eq!(next_call.name, late_call.name);
-    // Whole units of the late call have served requests without a further call.
-    assert!(f64::from(requests) >= late_call.amount.floor(), "the next call came at request {requests}");
+    // Each full unit of the late call has served a request without a further call.
+    assert!(f64::from(requests) >= late_call.amount.floor(), "the next call arrived at request {requests}");
     next_call.reply_total(late_call.amount + next_call.amount);
 }
 
--- a/tests/node_forwarding.rs
+++ b/tests/node_forwarding.rs
@@ -21,7 +21,7 @@
         assert_eq!(received.message.header("idempotency-key"), (class == "slip").then_some("5c0f"));
         assert_eq!(received.message.body, if class == "lookup" { &b""[..] } else { b"slip!" });
         let deadline = received.message.header("x-deadline-ms").expect("a deadline");
-        let deadline_ms: u64 = deadline.parse().expect("a whole number");
+        let deadline_ms: u64 = deadline.parse().expect("an integer");
         assert!(deadline_ms > 0 && deadline_ms < 40_000, "{deadline_ms}");
         received.respond("200 OK", "X-Load: ?\r\n", "done");
         client.assert_ok("done");
@@ -83,8 +83,8 @@
     other_client.assert_ok("anew");
 }
 
-/// Waits for the request at the endpoint; none if the client was told that the id is in use. On a busy machine a
-/// request may take any time to arrive, so that none has arrived says nothing.
+/// Waits for the request at the endpoint; none if the client was answered that the id is in use. On a busy machine a
+/// request may take any time to arrive, so that none has arrived proves nothing.
 fn request_or_conflict(endpoint: &FakeEndpoint, client: &mut Client) -> Option<ReceivedRequest> {
     let until = Instant::now() + TEST_TIMEOUT;
     while !client.has_response() {
--- a/tests/node_upstream_connections.rs
+++ b/tests/node_upstream_connections.rs
@@ -117,5 +117,5 @@
             return;
         }
     }
-    panic!("no five rounds in which the next request came before the pause was over");
+    panic!("no five rounds in which the next request arrived before the pause was over");
 }
--- a/tests/restart_readiness.rs
+++ b/tests/restart_readiness.rs
@@ -6,7 +6,8 @@
 use std::iter;
 
 use fakes::{
-    active, endpoint_entry, request, unreachable_address, EdgeProcess, FakeEndpoint, NodeConfiguration,
+    active, assert_served_by, endpoint_entry, request, unreachable_address, EdgeProcess, FakeEndpoint,
+    NodeConfiguration,
 };
 use serde_json::{json, Value};
 
@@ -35,13 +36,6 @@
     assert_eq!(client.response().status(), 200);
 }
 
-fn assert_served_by(endpoint: &FakeEndpoint, edge: &EdgeProcess, id: &str) {
-    let mut client = edge.connect();
-    client.send(&request("lookup", id));
-    endpoint.next_request().respond_ok("ok");
-    assert_eq!(client.response().status(), 200);
-}
-
 #[test]
 fn a_killed_node_restarts_on_its_port_and_is_ready_while_discovery_is_silent() {
     for is_shared in [false, true] {
@@ -66,7 +60,7 @@
         // The agent accepts the calls of both nodes and responds to none.
         let restarted = configuration.start();
         assert_ready(&restarted);
-        assert_served_by(&endpoint, &restarted, "l-2");
+        assert_served_by(&endpoint, &mut restarted.connect(), &request("lookup", "l-2"));
     }
 }
 
@@ -76,7 +70,7 @@
     let silent_agent = FakeEndpoint::start();
     let edge = NodeConfiguration::new(&long_list(&endpoint)).discovery(silent_agent.address).start();
     assert_ready(&edge);
-    assert_served_by(&endpoint, &edge, "l-1");
+    assert_served_by(&endpoint, &mut edge.connect(), &request("lookup", "l-1"));
     // No call to the agent has a response so far.
     let _pending_call = silent_agent.next_request();
 }
@@ -96,5 +90,5 @@
         call = agent.next_request();
         call.send_response("200 OK", &list);
     }
-    assert_served_by(&endpoint, &edge, "l-1");
+    assert_served_by(&endpoint, &mut edge.connect(), &request("lookup", "l-1"));
 }
