--- a/tests/fakes/endpoint.rs
+++ b/tests/fakes/endpoint.rs
@@ -1,4 +1,4 @@
-//! A fake endpoint (app server) whose every response the test gives itself.
+//! A fake endpoint whose every response the test gives itself.
 
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -23,7 +23,7 @@
         self.message.header("x-request-id").expect("an id")
     }
 
-    /// The node's end of the connection that it came on.
+    /// The node's end of the connection that it arrived on.
     pub fn node_address(&self) -> SocketAddr {
         self.stream.peer_addr().expect("a peer")
     }
@@ -71,10 +71,10 @@
         self.stream.shutdown(Shutdown::Both).expect("an open connection");
     }
 
-    /// Panics: the request must not have come.
+    /// Panics: the request must not have arrived.
     fn fail_unexpected(&self) -> ! {
         let id = self.message.header("x-request-id");
-        panic!("a request that should not have come: {id:?}, {:?}", self.message.first);
+        panic!("a request that should not have arrived: {id:?}, {:?}", self.message.first);
     }
 }
 
@@ -96,8 +96,7 @@
 pub struct FakeEndpoint {
     /// Where it listens.
     pub address: SocketAddr,
-    /// A clone of each of its connections, for closing it.
-    pub lines: Connections,
+    connections: Connections,
     events: Receiver<EndpointEvent>,
     last_connection: LastConnection,
 }
@@ -112,12 +111,12 @@
     pub fn with_listener(listener: TcpListener) -> FakeEndpoint {
         let address = listener.local_addr().expect("an address");
         let (sender, events) = channel();
-        let lines = Connections::default();
+        let connections = Connections::default();
         let last_connection = LastConnection::default();
-        let accepted = lines.clone();
+        let accepted = connections.clone();
         let ends_with = last_connection.clone();
         spawn(move || accept_connections(&listener, &sender, &accepted, &ends_with));
-        FakeEndpoint { address, lines, events, last_connection }
+        FakeEndpoint { address, connections, events, last_connection }
     }
 
     /// The next event.
@@ -144,16 +143,24 @@
 
     /// How many connections it has accepted and not closed.
     pub fn connection_count(&self) -> usize {
-        self.lines.lock().expect("no panic").len()
+        self.connections.lock().expect("no panic").len()
     }
 
     /// Closes all connections.
     pub fn close_connections(&self) {
-        for connection in self.lines.lock().expect("no panic").drain(..) {
+        for connection in self.connections.lock().expect("no panic").drain(..) {
             connection.shutdown(Shutdown::Both).expect("an open connection");
         }
     }
 
+    /// Closes all connections, some of which the node may have closed already.
+    pub fn close_remaining_connections(&self) {
+        for connection in self.connections.lock().expect("no panic").drain(..) {
+            // It may be closed already.
+            let _ = connection.shutdown(Shutdown::Both);
+        }
+    }
+
     /// Sends these bytes in place of a response and resets the connection.
     pub fn send_raw_and_reset(&self, mut request: ReceivedRequest, bytes: &[u8]) {
         request.stream.write_all(bytes).expect("an open connection");
@@ -161,7 +168,7 @@
         socket.set_linger(Some(Duration::ZERO)).expect("an open connection");
         // The reset is sent when the last handle is closed; the reader and the list of connections have one each.
         socket.shutdown(Shutdown::Read).expect("an open connection");
-        self.lines.lock().expect("no panic").clear();
+        self.connections.lock().expect("no panic").clear();
     }
 
     /// Asserts that the next event is the end of a connection.
@@ -178,7 +185,7 @@
         }
     }
 
-    /// Asserts that no request has come up to the last byte that the node has sent. The node must have ended.
+    /// Asserts that no request has arrived up to the last byte that the node has sent. The node must have ended.
     pub fn assert_no_request_until_node_ended(self) {
         self.end_listener();
         // The events end with the last reader.
@@ -192,7 +199,7 @@
         }
     }
 
-    /// Ends the listener once it has accepted all that came before this call. Connections are accepted in their
+    /// Ends the listener once it has accepted all that arrived before this call. Connections are accepted in their
     /// order, so what the node has opened comes before the connection that this opens.
     fn end_listener(&self) {
         let socket =
