--- a/crates/scale-bench/src/earlier.rs
+++ b/crates/scale-bench/src/earlier.rs
@@ -1,7 +1,6 @@
 //! `decisions` and `slopes` alone: the root of the build over an earlier revision (`earlier/Cargo.toml`).
 #![forbid(unsafe_code)]
-// Parts of the shared files are used by the other subcommands only.
-#![allow(dead_code, unused_imports)]
+#![allow(dead_code, unused_imports, reason = "parts of the shared files are used by the other subcommands only")]
 
 mod decisions;
 mod error;
--- a/crates/scale-bench/tests/common/connection.rs
+++ b/crates/scale-bench/tests/common/connection.rs
@@ -1,6 +1,5 @@
 //! A connection to a fake, on which a test writes and reads what it likes.
-// Each test file that includes this uses a part of it.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file that includes this uses a part of it")]
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/src/decision/attempts/retry_policy.rs
+++ b/src/decision/attempts/retry_policy.rs
@@ -1,8 +1,11 @@
 //! Retries: whether a request may get another attempt after one that failed or is stuck.
 //!
-//! By the idempotency of its class: - safe: it may; - keyed: only if no attempt of it may have run, or
-//! within the deduplication window of the first that may have; - non-idempotent (`POST` without a key):
-//! only if no attempt of it may have run.
+//! By the idempotency of its class:
+//!
+//! - safe: it may;
+//! - keyed: only if no attempt of it may have run, or within the deduplication window of the first that may
+//!   have;
+//! - non-idempotent (`POST` without a key): only if no attempt of it may have run.
 //!
 //! An attempt certainly never ran if it was rejected, could not connect or was not sent. In any case there
 //! has to be an attempt left, time for a response, and a retry in the budget.
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -140,18 +140,6 @@
         self.balancer.work_counters()
     }
 
-    /// [`Self::retained_entries`] as a pair, for callers that have not moved yet.
-    pub fn kept(&self) -> (usize, usize) {
-        let retained = self.retained_entries();
-        (retained.accounts, retained.endpoints)
-    }
-
-    /// [`Self::work_counters`] as a pair, for callers that have not moved yet.
-    pub fn work(&self) -> (u64, u64) {
-        let counters = self.work_counters();
-        (counters.endpoints_examined, counters.entries_changed)
-    }
-
     fn start(&mut self, actions: &mut Vec<Action>) {
         self.has_started = true;
         self.load_shedder.start(self.now);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A node under test, on a clock that the test moves, and helpers for its events and actions.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file that includes this uses a part of it")]
 
 use std::collections::BTreeMap;
 
