--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,12 +1,12 @@
 //! Endpoints that warm up under the sum of what twenty to thirty nodes send: they get part of the load and
 //! survive it.
 
-mod cold_start;
 mod common;
+mod warm_up;
 
-use cold_start::{NodeOutage, Scenario, Simulation};
 use common::{MILLISECOND, SECOND};
 use edge_node::decision::WarmUp;
+use warm_up::{NodeOutage, Scenario, Simulation};
 
 fn scenarios(warm_up: &WarmUp) -> [Scenario; 5] {
     let few_among_many_under_burst = Scenario {
