--- a/tests/balancer_scaling.rs
+++ b/tests/balancer_scaling.rs
@@ -83,7 +83,7 @@
 
 #[test]
 fn many_nodes_do_not_each_send_a_cold_endpoint_a_request_at_once() {
-    let mut to_cold = 0;
+    let mut to_warming = 0;
     for seed in 0..200 {
         let started_at = 100 * SECOND - MILLISECOND;
         let entries = (0..4)
@@ -94,23 +94,23 @@
         for _ in 0..5 {
             node.advance(200 * MILLISECOND);
             let attempt = node.request_started(SAFE);
-            to_cold += usize::from(attempt.endpoint == EndpointId(3));
+            to_warming += usize::from(attempt.endpoint == EndpointId(3));
             node.complete(&attempt);
         }
     }
     // A warm one gets 1,000 / 3.2 in that second, and 0.2 to 0.25 of its capacity is sure.
-    assert!(to_cold <= 70, "{to_cold} requests in the first second");
+    assert!(to_warming <= 70, "{to_warming} requests in the first second");
 }
 
 #[test]
 fn cold_endpoints_among_many_get_the_share_that_their_warm_fraction_allows() {
-    let mut to_cold = 0;
+    let mut to_warming = 0;
     let mut to_all = 0;
     for seed in 0..50 {
         let started_at = 100 * SECOND;
-        let is_cold = |id: u64| id.is_multiple_of(3);
+        let is_warming = |id: u64| id.is_multiple_of(3);
         let entry = |id: u32| {
-            endpoint_entry(id, EndpointState::Active, if is_cold(id.into()) { started_at } else { 0 })
+            endpoint_entry(id, EndpointState::Active, if is_warming(id.into()) { started_at } else { 0 })
         };
         let settings = Settings { node_count: 50, node_index: seed as u32, ..settings_without_quota() };
         let mut node = node_with_seed(seed, settings, (0..60).map(entry).collect());
@@ -120,7 +120,7 @@
             node.advance(167 * MILLISECOND);
             let attempt = node.request_started(SAFE);
             to_all += 1;
-            to_cold += usize::from(is_cold(attempt.endpoint.0));
+            to_warming += usize::from(is_warming(attempt.endpoint.0));
             in_flight.push_back(attempt);
             if in_flight.len() > 1 {
                 let oldest = in_flight.pop_front().expect("one is in flight");
@@ -130,8 +130,8 @@
     }
     // In 6 s a third of the endpoints rises from 0.2 to 0.52 of its capacity: 7 of 47 parts, with slack both
     // ways.
-    let share = f64::from(to_cold as u32) / f64::from(to_all as u32);
-    assert!((0.09..=0.25).contains(&share), "{share:.3} of {to_all} requests to the cold third");
+    let share = f64::from(to_warming as u32) / f64::from(to_all as u32);
+    assert!((0.09..=0.25).contains(&share), "{share:.3} of {to_all} requests to the warming third");
 }
 
 #[test]
--- a/tests/warm_up/mod.rs
+++ b/tests/warm_up/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of decision engines before one model of the endpoints, some of which start cold, on given time and
-//! a seed.
+//! A fleet of decision engines before one model of the endpoints, some of which warm up, on given time and a
+//! seed.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -13,15 +13,18 @@
 
 /// Requests of mean work that a warm endpoint serves per second.
 const CAPACITY: f64 = 16.0;
-/// When the nodes start, when the cold endpoints start, and the end.
+/// When the nodes start.
 const NODES_START: Micros = 100 * SECOND;
-const COLD_START: Micros = 110 * SECOND;
+/// When the endpoints that warm up start.
+const WARM_UP_START: Micros = 110 * SECOND;
+/// When the run ends.
 const END: Micros = 130 * SECOND;
-/// Time of a request beside its work, and time that a client leaves for the response to arrive.
+/// Time of a request beside its work.
 const OVERHEAD: Micros = 60 * MILLISECOND;
+/// Time that a client leaves for the response to arrive.
 const RESPONSE_MARGIN: Micros = 25 * MILLISECOND;
 
-/// Seven in ten nodes are killed so long after the cold endpoints' start, and are back after the outage;
+/// Seven in ten nodes are killed so long after the warming endpoints' start, and are back after the outage;
 /// meanwhile the others get the requests that come for them.
 #[derive(Clone, Copy)]
 pub struct NodeOutage {
@@ -29,15 +32,15 @@
     pub duration: Micros,
 }
 
-/// A scenario: nodes, endpoints that are warm, some that start cold, and the load, as a share of what the
-/// warm ones can serve.
+/// A scenario: nodes, endpoints that are warm, some that start during the run and warm up, and the load, as a
+/// share of what the warm ones can serve.
 pub struct Scenario {
     pub node_count: u32,
     pub warm_count: u32,
-    pub cold_count: u32,
+    pub warming_count: u32,
     pub load_before: f64,
     pub load_in_burst: f64,
-    /// How long after the cold endpoints' start the burst begins.
+    /// How long after the warming endpoints' start the burst begins.
     pub burst_after: Micros,
     pub outage: Option<NodeOutage>,
     pub warm_up: WarmUp,
@@ -49,7 +52,7 @@
         Scenario {
             node_count: 0,
             warm_count: 0,
-            cold_count: 0,
+            warming_count: 0,
             load_before: 0.0,
             load_in_burst: 0.0,
             burst_after: 0,
@@ -65,35 +68,36 @@
 
     fn is_down(&self, node: usize, now: Micros) -> bool {
         let is_during = |outage: NodeOutage| {
-            let from = COLD_START + outage.after;
+            let from = WARM_UP_START + outage.after;
             (from..from + outage.duration).contains(&now)
         };
         node >= self.survivor_count() && self.outage.is_some_and(is_during)
     }
 
-    fn is_cold(&self, endpoint: u64) -> bool {
+    /// Whether an endpoint starts during the run, and not warm.
+    fn starts_during_run(&self, endpoint: u64) -> bool {
         endpoint >= u64::from(self.warm_count)
     }
 
     /// The share of its capacity that an endpoint has.
     fn warm_fraction(&self, endpoint: u64, at: Micros) -> f64 {
-        if !self.is_cold(endpoint) {
+        if !self.starts_during_run(endpoint) {
             return 1.0;
         }
-        let progress = at.saturating_sub(COLD_START) as f64 / self.warm_up.duration as f64;
+        let progress = at.saturating_sub(WARM_UP_START) as f64 / self.warm_up.duration as f64;
         (self.warm_up.initial_fraction + (1.0 - self.warm_up.initial_fraction) * progress).min(1.0)
     }
 
     /// The load as a share of what the warm endpoints can serve.
     fn load(&self, now: Micros) -> f64 {
-        if now < COLD_START + self.burst_after {
+        if now < WARM_UP_START + self.burst_after {
             self.load_before
         } else {
             self.load_in_burst
         }
     }
 
-    /// The endpoint list before the cold endpoints start.
+    /// The endpoint list before the warming endpoints start.
     fn warm_list(&self) -> Event {
         let entries = (0..self.warm_count).map(|id| endpoint_entry(id, EndpointState::Active, 0)).collect();
         Event::EndpointsUpdated { kind: EndpointUpdateKind::Snapshot, entries }
@@ -102,10 +106,10 @@
     /// The endpoint list from their start on.
     fn full_list(&self) -> Event {
         let entry = |id: u32| -> EndpointEntry {
-            let started_at = if id < self.warm_count { 0 } else { COLD_START };
+            let started_at = if id < self.warm_count { 0 } else { WARM_UP_START };
             endpoint_entry(id, EndpointState::Active, started_at)
         };
-        let entries = (0..self.warm_count + self.cold_count).map(entry).collect();
+        let entries = (0..self.warm_count + self.warming_count).map(entry).collect();
         Event::EndpointsUpdated { kind: EndpointUpdateKind::Snapshot, entries }
     }
 }
@@ -119,6 +123,12 @@
     Restart { node: usize },
 }
 
+/// An occurrence and when it happens.
+struct ScheduledOccurrence {
+    at: Micros,
+    occurrence: Occurrence,
+}
+
 /// What is to happen, in order of time; at one point in time in the order in which it was added.
 #[derive(Default)]
 struct Agenda {
@@ -134,18 +144,18 @@
         self.next_number += 1;
     }
 
-    fn take(&mut self) -> Option<(Micros, Occurrence)> {
+    fn take(&mut self) -> Option<ScheduledOccurrence> {
         let Reverse((at, number)) = self.order.pop()?;
-        self.occurrences.remove(&number).map(|occurrence| (at, occurrence))
+        self.occurrences.remove(&number).map(|occurrence| ScheduledOccurrence { at, occurrence })
     }
 }
 
-/// How the cold start went.
-pub struct ColdStart {
-    /// The fullest window of any cold endpoint, relative to the load that it survives.
+/// How the warm-up went.
+pub struct WarmUpOutcome {
+    /// The fullest window of any warming endpoint, relative to the load that it survives.
     pub fullest_window: f64,
-    /// The share of all attempts that the cold endpoints got.
-    pub cold_share: f64,
+    /// The share of all attempts that the warming endpoints got.
+    pub warming_share: f64,
 }
 
 /// The nodes, the endpoints and the clients of one run.
@@ -206,17 +216,18 @@
         let warm_list = Occurrence::Event { node, incarnation: 0, event: self.scenario.warm_list() };
         let full_list = Occurrence::Event { node, incarnation: 0, event: self.scenario.full_list() };
         self.agenda.add(NODES_START, warm_list);
-        self.agenda.add(COLD_START, full_list);
+        self.agenda.add(WARM_UP_START, full_list);
         self.agenda.add(NODES_START + 1, Occurrence::Request { node });
         if let Some(outage) = self.scenario.outage.filter(|_| node >= self.scenario.survivor_count()) {
-            let back_at = COLD_START + outage.after + outage.duration;
+            let back_at = WARM_UP_START + outage.after + outage.duration;
             self.agenda.add(back_at, Occurrence::Restart { node });
         }
     }
 
-    pub fn run(mut self) -> ColdStart {
-        while let Some((now, occurrence)) = self.agenda.take().filter(|&(at, _)| at < END) {
-            match occurrence {
+    pub fn run(mut self) -> WarmUpOutcome {
+        while let Some(scheduled) = self.agenda.take().filter(|scheduled| scheduled.at < END) {
+            let now = scheduled.at;
+            match scheduled.occurrence {
                 Occurrence::Event { node, incarnation, event } => {
                     if incarnation == self.incarnations[node] && !self.scenario.is_down(node, now) {
                         self.handle(node, now, event);
@@ -230,7 +241,7 @@
                 Occurrence::Request { node } => self.request(node, now),
             }
         }
-        ColdStart { fullest_window: self.fullest_window(), cold_share: self.cold_share() }
+        WarmUpOutcome { fullest_window: self.fullest_window(), warming_share: self.warming_share() }
     }
 
     /// A client of a node may send a request, and the next one is planned. Requests are drawn at the higher
@@ -296,7 +307,7 @@
         let busy_until = self.busy_until.entry(endpoint.0).or_default();
         let done_at = (*busy_until).max(now) + work;
         let give_up_at = self.deadlines[&request] - RESPONSE_MARGIN;
-        let in_time = done_at + OVERHEAD < give_up_at;
+        let is_in_time = done_at + OVERHEAD < give_up_at;
         if done_at < give_up_at {
             *busy_until = done_at;
         }
@@ -307,9 +318,9 @@
             request,
             attempt_number: attempts.len() as u32 - 1,
             endpoint,
-            outcome: if in_time { Outcome::Ok } else { Outcome::TimedOut },
+            outcome: if is_in_time { Outcome::Ok } else { Outcome::TimedOut },
             elapsed: end_at - now,
-            request_completed: in_time,
+            request_completed: is_in_time,
             final_units: None,
         };
         self.add_event(end_at, node, Event::AttemptEnded(end));
@@ -320,7 +331,7 @@
         let end = EndedAttempt {
             request,
             attempt_number,
-            // The node looks up the endpoint by the attempt.
+            // The node finds the endpoint by the attempt.
             endpoint: EndpointId::default(),
             outcome: Outcome::Cancelled,
             elapsed: now - sent_at,
@@ -330,15 +341,15 @@
         self.add_event(now, node, Event::AttemptEnded(end));
     }
 
-    /// Over all cold endpoints, the most attempts within one window of `overload_duration` while it was
+    /// Over all warming endpoints, the most attempts within one window of `overload_duration` while it was
     /// warming up, relative to what it survives.
     fn fullest_window(&self) -> f64 {
         let scenario = self.scenario;
         let rules = &scenario.warm_up;
         let mut fullest = 0.0f64;
-        for (&endpoint, arrivals) in self.arrivals.iter().filter(|(id, _)| scenario.is_cold(**id)) {
+        for (&endpoint, arrivals) in self.arrivals.iter().filter(|(id, _)| scenario.starts_during_run(**id)) {
             for (last, &until) in arrivals.iter().enumerate() {
-                let from = until.saturating_sub(rules.overload_duration).max(COLD_START);
+                let from = until.saturating_sub(rules.overload_duration).max(WARM_UP_START);
                 let warm_fraction = scenario.warm_fraction(endpoint, from);
                 if warm_fraction >= 1.0 {
                     break;
@@ -352,17 +363,17 @@
         fullest
     }
 
-    /// The share of all attempts since the cold endpoints' start that they got.
-    fn cold_share(&self) -> f64 {
-        let mut to_cold = 0;
+    /// The share of all attempts since the warming endpoints' start that they got.
+    fn warming_share(&self) -> f64 {
+        let mut to_warming = 0;
         let mut to_all = 0;
         for (&endpoint, arrivals) in &self.arrivals {
-            let count = arrivals.iter().filter(|&&at| at >= COLD_START).count();
+            let count = arrivals.iter().filter(|&&at| at >= WARM_UP_START).count();
             to_all += count;
-            if self.scenario.is_cold(endpoint) {
-                to_cold += count;
+            if self.scenario.starts_during_run(endpoint) {
+                to_warming += count;
             }
         }
-        to_cold as f64 / to_all.max(1) as f64
+        to_warming as f64 / to_all.max(1) as f64
     }
 }
