--- a/tests/endpoint_selection.rs
+++ b/tests/endpoint_selection.rs
@@ -13,19 +13,29 @@
 use oracle::checked_node::{active_entry, delta, entry, settings_of_node, snapshot, CheckedNode};
 use oracle::CheckedAttempts;
 
+/// The fleet of a check, and how many events it takes.
+struct Check {
+    seed: u64,
+    endpoint_count: u64,
+    node_count: u32,
+    event_count: u32,
+}
+
 /// Checks seeded events at a fleet of this size. Returns how many attempts were checked.
-fn check(seed: u64, endpoint_count: u64, node_count: u32, event_count: u32) -> CheckedAttempts {
-    let settings = settings_of_node(node_count / 2, node_count);
-    let mut checked = CheckedNode::new(seed, endpoint_count, settings);
+fn run_check(check: &Check) -> CheckedAttempts {
+    let settings = settings_of_node(check.node_count / 2, check.node_count);
+    let mut checked = CheckedNode::new(check.seed, check.endpoint_count, settings);
     let mut next_tick = checked.node.now;
-    for number in 0..event_count {
+    for number in 0..check.event_count {
         checked.node.now += checked.random.u64(..10 * MILLISECOND);
         while next_tick <= checked.node.now {
             next_tick += 20 * MILLISECOND;
             checked.event(Event::TimerFired { id: 0 });
         }
         match checked.random.u32(..100) {
-            _ if number == event_count / 2 => checked.restart_neighbours(endpoint_count as usize / 4),
+            _ if number == check.event_count / 2 => {
+                checked.restart_neighbours(check.endpoint_count as usize / 4)
+            }
             _ if number % 400 == 399 => checked.shrink_by_snapshot(),
             0..3 => checked.change_an_endpoint(),
             3..52 => checked.request(),
@@ -39,7 +49,8 @@
 #[test]
 fn selection_equals_a_plain_scan_where_the_subset_is_the_whole_list() {
     for seed in 0..4 {
-        let checked = check(seed, 24, 3, 1_500);
+        let check = Check { seed, endpoint_count: 24, node_count: 3, event_count: 1_500 };
+        let checked = run_check(&check);
         assert!(checked.all > 300 && checked.bound_repeats > 5, "{checked:?}");
     }
 }
@@ -47,18 +58,22 @@
 #[test]
 fn selection_equals_a_plain_scan_at_200_endpoints() {
     for seed in 0..4 {
-        let checked = check(seed, 200, 300, 1_500);
+        let check = Check { seed, endpoint_count: 200, node_count: 300, event_count: 1_500 };
+        let checked = run_check(&check);
         assert!(checked.all > 300 && checked.beyond_subset > 5 && checked.bound_repeats > 5, "{checked:?}");
     }
 }
 
 #[test]
 fn selection_equals_a_plain_scan_at_up_to_46_000_endpoints() {
-    for (seed, endpoint_count, node_count, event_count) in
-        [(1, 600, 300, 1_600), (2, 4_600, 570, 300), (3, 46_000, 5_700, 90)]
-    {
-        let checked = check(seed, endpoint_count, node_count, event_count);
-        let least = if endpoint_count > 1_000 {
+    let checks = [
+        Check { seed: 1, endpoint_count: 600, node_count: 300, event_count: 1_600 },
+        Check { seed: 2, endpoint_count: 4_600, node_count: 570, event_count: 300 },
+        Check { seed: 3, endpoint_count: 46_000, node_count: 5_700, event_count: 90 },
+    ];
+    for check in checks {
+        let checked = run_check(&check);
+        let least = if check.endpoint_count > 1_000 {
             CheckedAttempts { all: 20, beyond_subset: 5, bound_repeats: 0 }
         } else {
             CheckedAttempts { all: 200, beyond_subset: 20, bound_repeats: 5 }
--- a/tests/oracle/selection.rs
+++ b/tests/oracle/selection.rs
@@ -24,15 +24,22 @@
     endpoint: EndpointId,
 }
 
+/// The share of failures of one kind over the fleet.
+#[derive(Clone, Copy)]
+struct FleetFailures {
+    kind: FailureKind,
+    share: f64,
+}
+
 /// What is the same for all endpoints that are compared for one attempt.
 struct Comparison {
     exclude: Option<EndpointId>,
     subset: BTreeSet<EndpointId>,
     /// Weight of chance beside the node's own load counts.
     exploration: f64,
-    class: (FailureKind, f64),
-    plan: (FailureKind, f64),
-    unanswered: (FailureKind, f64),
+    class: FleetFailures,
+    plan: FleetFailures,
+    unanswered: FleetFailures,
 }
 
 impl Oracle {
@@ -110,17 +117,17 @@
         let request = &self.requests[id];
         let in_flight: usize = self.endpoints.values().map(|endpoint| endpoint.in_flight.len()).sum();
         let active_count = self.ring().len();
-        let with_fleet_share = |kind| {
+        let fleet_failures = |kind| {
             let share = self.failures.get(&kind).map_or(0.0, |share| share.value(self.now, 0.0));
-            (kind, share)
+            FleetFailures { kind, share }
         };
         Comparison {
             exclude,
             subset: self.subset().into_iter().collect(),
             exploration: 1.0 / (1.0 + 60.0 * in_flight as f64 / active_count as f64),
-            class: with_fleet_share(FailureKind::Class(request.class)),
-            plan: with_fleet_share(FailureKind::Plan(request.plan)),
-            unanswered: with_fleet_share(FailureKind::Unanswered),
+            class: fleet_failures(FailureKind::Class(request.class)),
+            plan: fleet_failures(FailureKind::Plan(request.plan)),
+            unanswered: fleet_failures(FailureKind::Unanswered),
         }
     }
 
@@ -185,12 +192,12 @@
 
     fn failure_risk(&self, comparison: &Comparison, endpoint: &Endpoint) -> f64 {
         let kinds = [comparison.class, comparison.plan, comparison.unanswered];
-        if kinds.iter().all(|(_, fleet_share)| *fleet_share <= 0.01) {
+        if kinds.iter().all(|fleet| fleet.share <= 0.01) {
             return 0.0;
         }
-        let share = |(kind, fleet_share)| {
-            let own = endpoint.failures.get(&kind);
-            own.map_or(fleet_share, |own| own.value(self.now, fleet_share))
+        let share = |fleet: FleetFailures| {
+            let own = endpoint.failures.get(&fleet.kind);
+            own.map_or(fleet.share, |own| own.value(self.now, fleet.share))
         };
         let unanswered = share(comparison.unanswered) * (2.0 * comparison.exploration).min(1.0);
         share(comparison.class).max(share(comparison.plan)).max(unanswered)
