--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -13,5 +13,7 @@
 pub use node::{endpoint_entry, NodeUnderTest};
 pub use settings::{request_class, settings_with_quota, settings_without_quota, KEYED, NON_IDEMPOTENT, SAFE};
 
+/// A millisecond, in microseconds.
 pub const MILLISECOND: Micros = 1_000;
+/// A second, in microseconds.
 pub const SECOND: Micros = 1_000_000;
