--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -138,3 +138,21 @@
         assert_eq!(started_attempts(&actions).len(), 1, "with {endpoint_count} endpoints");
     }
 }
+
+#[test]
+fn id_used_again_after_its_account_was_forgotten_is_sent_once() {
+    let mut settings = settings_without_quota();
+    settings.classes[NON_IDEMPOTENT].latency_objective = 30 * SECOND;
+    let mut node = NodeUnderTest::new(settings, 0);
+    let request = request_with_id("again", NON_IDEMPOTENT, node.now + 60 * SECOND);
+    node.event(Event::RequestReceived(request.clone()));
+    for _ in 0..400 {
+        node.advance(20 * MILLISECOND);
+        node.tick();
+    }
+    assert_eq!(node.node.retained_entries().accounts, 0, "the request still waits for an endpoint");
+    node.event(Event::ClientDisconnected { request: "again".into() });
+    node.event(Event::RequestReceived(request));
+    node.update_endpoint(endpoint_entry(9, EndpointState::Active, 0));
+    assert_eq!(started_attempts(&node.tick()).len(), 1);
+}
