--- a/crates/scale-bench/src/node/figures.rs
+++ b/crates/scale-bench/src/node/figures.rs
@@ -14,10 +14,10 @@
     let notes = [
         "latency added: from when a request was due to its answer, less its app server's own time; of all that \
          were served, however late, and of the lost, which count with the time they were waited for",
-        "added_from_sent: the same without what the clients were late by (rig_late), which on a busy machine is \
+        "added_from_sent: the same without what the clients were late by (bench_late), which on a busy machine is \
          scale-bench's own; no client waits for another's answer, so it is free of coordinated omission, too",
         "lost: no answer by a second after the deadline; late: an answer between the deadline and then",
-        "cpu_wait_loaded_percent: the node could have run and had no processor; where it or rig_late_p99_ms is not \
+        "cpu_wait_loaded_percent: the node could have run and had no processor; where it or bench_late_p99_ms is not \
          small, the machine was too busy for latencies to say anything",
         "bytes are those that TCP carries, without its headers, in and out as the peer sees them",
         "handshakes, probes and servers used are of the whole run; calls, attempts and outcomes of the load",
@@ -125,11 +125,11 @@
 
 fn add_own_cost(measured: &Measured, report: &mut Report) {
     let sent_late = &measured.results.sent_late;
-    report.add("rig_late_p99_ms", quantile_ms(sent_late, 0.99), "ms");
-    report.add("rig_late_max_ms", milliseconds(sent_late.max()), "ms");
+    report.add("bench_late_p99_ms", quantile_ms(sent_late, 0.99), "ms");
+    report.add("bench_late_max_ms", milliseconds(sent_late.max()), "ms");
     let own_usage = &measured.own_usage;
     let percent = own_usage.after.cpu_percent_since(&own_usage.before);
-    report.add("rig_cpu_percent", percent, "% of a core");
+    report.add("bench_cpu_percent", percent, "% of a core");
 }
 
 fn quantile_ms(histogram: &Histogram<u64>, quantile: f64) -> f64 {
