--- a/src/net/discovery/list_client.rs
+++ b/src/net/discovery/list_client.rs
@@ -14,11 +14,11 @@
 use crate::net::discovery::apply::ReceivedList;
 use crate::net::discovery::error::{DiscoveryError, MAX_LIST_BYTES};
 use crate::net::discovery::timeout::{finish_by, WatchTimeout};
-use crate::net::http_client::ClientConnection;
+use crate::net::http_client::HttpConnection;
 
 /// The head of a response, and the connection that its body arrives on.
 struct ResponseHead {
-    connection: ClientConnection,
+    connection: HttpConnection,
     response: Response<Incoming>,
 }
 
@@ -32,7 +32,7 @@
     /// the limits of [`WatchTimeout`]. The connection is used if it is open, and kept after success.
     pub(super) async fn call(
         &self,
-        connection: &mut Option<ClientConnection>,
+        connection: &mut Option<HttpConnection>,
         path: &str,
         wait: Duration,
     ) -> Result<ReceivedList, DiscoveryError> {
@@ -56,10 +56,10 @@
     }
 
     /// Sends a request and waits for the head of its response.
-    async fn send(&self, kept: Option<ClientConnection>, path: &str) -> Result<ResponseHead, DiscoveryError> {
-        let mut connection = match kept.filter(ClientConnection::is_open) {
+    async fn send(&self, kept: Option<HttpConnection>, path: &str) -> Result<ResponseHead, DiscoveryError> {
+        let mut connection = match kept.filter(HttpConnection::is_open) {
             Some(connection) => connection,
-            None => ClientConnection::open(self.address.get(), ()).await.map_err(DiscoveryError::Connect)?,
+            None => HttpConnection::open(self.address.get(), ()).await.map_err(DiscoveryError::Connect)?,
         };
         let request = Request::get(path)
             .header(HOST, self.address.get().to_string())
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -18,7 +18,7 @@
 use crate::net::discovery::schedule::WatchSchedule;
 use crate::net::discovery::timeout::{FETCH_TIMEOUT, FIRST_CALL_TIMEOUT, WATCH_TIMEOUT, WATCH_WAIT_MS};
 use crate::net::event_sink::EventSink;
-use crate::net::http_client::ClientConnection;
+use crate::net::http_client::HttpConnection;
 
 /// Where discovery serves the endpoint list.
 const LIST_PATH: &str = "/discovery/hosts";
@@ -161,7 +161,7 @@
     /// One long poll for changes since the version applied last; without one, a call for the full list.
     async fn watch_once(
         &self,
-        connection: &mut Option<ClientConnection>,
+        connection: &mut Option<HttpConnection>,
         events: &Rc<dyn EventSink>,
     ) -> Result<WatchResult, DiscoveryError> {
         let received = match self.applier.version() {
--- a/src/net/downstream/connection.rs
+++ b/src/net/downstream/connection.rs
@@ -21,7 +21,7 @@
 use crate::net::downstream::connection_registry::ConnectionRegistry;
 use crate::net::downstream::connection_state::ConnectionState;
 use crate::net::downstream::handler::RequestHandler;
-use crate::net::downstream::observed_stream::ObservedStream;
+use crate::net::downstream::request_bytes_stream::RequestBytesStream;
 use crate::net::downstream::response::close_connection;
 use crate::net::downstream::socket;
 
@@ -33,7 +33,7 @@
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// One connection of a client.
-pub struct ClientConnection {
+pub struct DownstreamConnection {
     /// Answers the connection's requests.
     pub handler: Rc<RequestHandler>,
     /// The open connections, of which this one is to be.
@@ -54,7 +54,7 @@
     ReadyToClose,
 }
 
-impl ClientConnection {
+impl DownstreamConnection {
     /// Serves the connection until it closes, and frees its descriptor then. It closes as soon as it is idle once
     /// `close_when_idle` changes.
     pub async fn run(self, permit: DescriptorPermit, close_when_idle: watch::Receiver<u32>) {
@@ -62,7 +62,7 @@
         let _registration = self.registry.register(&self.state);
         // Without it responses are late, not wrong.
         let _ = self.stream.set_nodelay(true);
-        let observed = ObservedStream { stream: self.stream.clone(), state: self.state.clone() };
+        let observed = RequestBytesStream { stream: self.stream.clone(), state: self.state.clone() };
         let http_connection = http1::Builder::new()
             .max_buf_size(MAX_HEAD_BYTES)
             .header_read_timeout(None)
--- a/src/net/downstream/listener.rs
+++ b/src/net/downstream/listener.rs
@@ -12,7 +12,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::net::descriptor_budget::{DescriptorBudget, DescriptorPermit};
-use crate::net::downstream::connection::ClientConnection;
+use crate::net::downstream::connection::DownstreamConnection;
 use crate::net::downstream::connection_registry::ConnectionRegistry;
 use crate::net::downstream::connection_state::ConnectionState;
 use crate::net::downstream::handler::RequestHandler;
@@ -127,7 +127,7 @@
     fn serve(&self, stream: TcpStream, permit: DescriptorPermit) {
         socket::clear_assumed_readiness(&stream);
         let state = ConnectionState::new(self.budget.clone(), self.listener_closed.get());
-        let connection = ClientConnection {
+        let connection = DownstreamConnection {
             handler: self.handler.clone(),
             registry: self.registry.clone(),
             stream: Rc::new(stream),
--- a/src/net/downstream/mod.rs
+++ b/src/net/downstream/mod.rs
@@ -11,8 +11,8 @@
 mod framing;
 mod handler;
 mod listener;
-mod observed_stream;
 mod request;
+mod request_bytes_stream;
 mod response;
 mod socket;
 
--- a/src/net/downstream/observed_stream.rs
+++ b/src/net/downstream/request_bytes_stream.rs
@@ -13,14 +13,14 @@
 use crate::net::downstream::connection_state::ConnectionState;
 
 /// A client's socket that notes the bytes read from it. The task that serves the connection shares the socket.
-pub struct ObservedStream {
+pub struct RequestBytesStream {
     /// The socket.
     pub stream: Rc<TcpStream>,
     /// The state of its connection.
     pub state: Rc<ConnectionState>,
 }
 
-impl AsyncRead for ObservedStream {
+impl AsyncRead for RequestBytesStream {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -40,7 +40,7 @@
     }
 }
 
-impl ObservedStream {
+impl RequestBytesStream {
     /// Writes by `write` as soon as the socket accepts bytes.
     fn poll_write_by(
         &self,
@@ -57,7 +57,7 @@
     }
 }
 
-impl AsyncWrite for ObservedStream {
+impl AsyncWrite for RequestBytesStream {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         self.poll_write_by(context, |stream| stream.try_write(bytes))
     }
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -18,7 +18,7 @@
 use crate::net::discovery::Discovery;
 use crate::net::event_sink::EventSink;
 use crate::net::open_requests::{Attempt, OpenRequest, OpenRequests};
-use crate::net::upstream::{AttemptResult, ForwardedRequest, Upstreams};
+use crate::net::upstream::{AttemptOutcome, ForwardedRequest, Upstreams};
 
 pub use crate::net::open_requests::{DuplicateRequestId, FinalResponse};
 
@@ -237,12 +237,12 @@
 
     /// Ends an attempt before its endpoint has responded.
     fn end_attempt(&self, id: &RequestId, attempt_number: usize, outcome: Outcome) {
-        self.finish_attempt(id, attempt_number, AttemptResult { outcome, body: None });
+        self.finish_attempt(id, attempt_number, AttemptOutcome { outcome, body: None });
     }
 
     /// Reports the end of an attempt; a second end of the same one is dropped. With a body, the request is served.
-    fn finish_attempt(&self, id: &RequestId, attempt_number: usize, result: AttemptResult) {
-        let AttemptResult { outcome, body } = result;
+    fn finish_attempt(&self, id: &RequestId, attempt_number: usize, result: AttemptOutcome) {
+        let AttemptOutcome { outcome, body } = result;
         let mut open_requests = self.open_requests.borrow_mut();
         let Some(request) = open_requests.get_mut(id) else { return };
         let Some(attempt) = request.attempts.get_mut(attempt_number) else { return };
--- a/src/net/http_client.rs
+++ b/src/net/http_client.rs
@@ -57,12 +57,12 @@
 }
 
 /// A socket that notes when a response begins.
-struct ObservedStream {
+struct ResponseStartStream {
     stream: TcpStream,
     response_start: Rc<ResponseStart>,
 }
 
-impl AsyncRead for ObservedStream {
+impl AsyncRead for ResponseStartStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -77,7 +77,7 @@
     }
 }
 
-impl AsyncWrite for ObservedStream {
+impl AsyncWrite for ResponseStartStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -122,19 +122,19 @@
 }
 
 /// An open connection. Dropping it closes the socket, whatever is in flight on it.
-pub struct ClientConnection {
+pub struct HttpConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
     response_start: Rc<ResponseStart>,
 }
 
-impl Drop for ClientConnection {
+impl Drop for HttpConnection {
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
-impl ClientConnection {
+impl HttpConnection {
     /// Connects. `permit` lives as long as the socket.
     ///
     /// # Errors
@@ -143,7 +143,7 @@
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let response_start = Rc::<ResponseStart>::default();
-        let observed = ObservedStream { stream, response_start: response_start.clone() };
+        let observed = ResponseStartStream { stream, response_start: response_start.clone() };
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(MAX_BUFFER_BYTES)
             .handshake(TokioIo::new(observed))
@@ -154,7 +154,7 @@
             // The request in flight is given the error as well.
             let _ = connection.await;
         });
-        Ok(ClientConnection { sender, driver: driver.abort_handle(), response_start })
+        Ok(HttpConnection { sender, driver: driver.abort_handle(), response_start })
     }
 
     /// Whether it is still open, as far as this side knows.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,8 +1,8 @@
 //! The sockets around the decisions: one folder for each kind of peer, and the event loop that joins them.
 //!
-//! Imports run one way: `downstream` uses the event loop; the event loop uses `upstream`, `counter` and `discovery`,
-//! which report to it through [`event_sink::EventSink`]; `upstream` implements the directory that `discovery` writes
-//! its lists to.
+//! Imports run one way: `downstream` uses the event loop; the event loop uses `upstream`, `counter` and `discovery`.
+//! The event loop awaits the attempts and probes that it starts at `upstream`; `counter` and `discovery` report to it
+//! through [`event_sink::EventSink`]. `upstream` implements the directory that `discovery` writes its lists to.
 
 pub mod clock;
 pub mod counter;
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -20,23 +20,23 @@
 const MAX_RESPONSE_TIME: Duration = Duration::from_millis(250);
 
 /// How an attempt ended.
-pub struct AttemptResult {
+pub struct AttemptOutcome {
     /// Its outcome, as the protocol's table has it.
     pub outcome: Outcome,
     /// The body of the response, if the request was served.
     pub body: Option<Bytes>,
 }
 
-impl AttemptResult {
+impl AttemptOutcome {
     fn without_body(outcome: Outcome) -> Self {
-        AttemptResult { outcome, body: None }
+        AttemptOutcome { outcome, body: None }
     }
 }
 
 /// How one use of a connection ended.
 enum ConnectionUse {
     /// The attempt has ended.
-    Ended(AttemptResult),
+    Ended(AttemptOutcome),
     /// Not a byte was written to an idle connection that turned out closed.
     StaleConnection(Box<Request<Full<Bytes>>>),
 }
@@ -51,7 +51,7 @@
         forwarded: &ForwardedRequest,
         ends_at: Micros,
         maybe_written: &Cell<bool>,
-    ) -> AttemptResult {
+    ) -> AttemptOutcome {
         let deadline = clock.instant(ends_at);
         let mut choice = ConnectionChoice::IdleOrNew;
         let mut unwritten = None;
@@ -59,9 +59,9 @@
             let acquire = self.acquire(endpoint, choice, deadline - Instant::now());
             let connection = match timeout_at(deadline, acquire).await {
                 Ok(Ok(connection)) => connection,
-                Ok(Err(AcquireError::NoDescriptor)) => return AttemptResult::without_body(Outcome::NotSent),
+                Ok(Err(AcquireError::NoDescriptor)) => return AttemptOutcome::without_body(Outcome::NotSent),
                 // Nothing has been written.
-                Ok(Err(_)) | Err(_) => return AttemptResult::without_body(Outcome::ConnectFailed),
+                Ok(Err(_)) | Err(_) => return AttemptOutcome::without_body(Outcome::ConnectFailed),
             };
             let time_left_ms = ends_at.saturating_sub(clock.now()) / 1000;
             let message = match unwritten.take() {
@@ -97,7 +97,7 @@
             result = timeout_at(deadline, exchange(&mut connection, message)) => match result {
                 Ok(result) => result,
                 // Whether the last byte went out is not known here, so it may have run.
-                Err(_) => return ConnectionUse::Ended(AttemptResult::without_body(Outcome::TimedOut)),
+                Err(_) => return ConnectionUse::Ended(AttemptOutcome::without_body(Outcome::TimedOut)),
             },
             () = response_start.exceeds(MAX_RESPONSE_TIME) => Err(SendError::MalformedResponse),
         };
@@ -111,12 +111,12 @@
                 if is_reusable {
                     self.keep(endpoint, connection, &pool);
                 }
-                ConnectionUse::Ended(AttemptResult { outcome, body })
+                ConnectionUse::Ended(AttemptOutcome { outcome, body })
             }
             Err(SendError::NotWritten(message)) if idle_for.is_some() => {
                 ConnectionUse::StaleConnection(message)
             }
-            Err(error) => ConnectionUse::Ended(AttemptResult::without_body(outcome_of(&error))),
+            Err(error) => ConnectionUse::Ended(AttemptOutcome::without_body(outcome_of(&error))),
         }
     }
 }
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -5,7 +5,7 @@
 use hyper::{Request, StatusCode};
 
 use crate::decision::Outcome;
-use crate::net::http_client::{has_unambiguous_length, read_body, BodyError, ClientConnection, SendError};
+use crate::net::http_client::{has_unambiguous_length, read_body, BodyError, HttpConnection, SendError};
 use crate::net::upstream::request::MAX_BODY_BYTES;
 use crate::protocol::headers::NOT_RUN;
 
@@ -30,7 +30,7 @@
 /// # Errors
 /// If there is no response, or one that is malformed.
 pub(super) async fn exchange(
-    connection: &mut ClientConnection,
+    connection: &mut HttpConnection,
     message: Request<Full<Bytes>>,
 ) -> Result<Exchange, SendError> {
     let response = connection.send(message).await?;
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -9,6 +9,6 @@
 pub mod reuse;
 mod upstreams;
 
-pub use crate::net::upstream::attempt::AttemptResult;
+pub use crate::net::upstream::attempt::AttemptOutcome;
 pub use crate::net::upstream::request::{ForwardedRequest, MAX_BODY_BYTES};
 pub use crate::net::upstream::upstreams::Upstreams;
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -13,7 +13,7 @@
 use crate::decision::EndpointId;
 use crate::net::descriptor_budget::{DescriptorBudget, DescriptorPermit};
 use crate::net::discovery::endpoints::Endpoint;
-use crate::net::http_client::ClientConnection;
+use crate::net::http_client::HttpConnection;
 use crate::net::upstream::known_endpoints::KnownEndpoints;
 use crate::net::upstream::reuse::ReuseLimit;
 
@@ -41,7 +41,7 @@
 
 /// A connection that no request is open on.
 pub(super) struct IdleConnection {
-    connection: ClientConnection,
+    connection: HttpConnection,
     idle_since: Instant,
 }
 
@@ -82,7 +82,7 @@
 
 /// A connection in use, and the pool that it was opened for.
 pub(super) struct PooledConnection {
-    pub(super) connection: ClientConnection,
+    pub(super) connection: HttpConnection,
     pub(super) pool: Rc<EndpointPool>,
     /// How long it stood idle; none if it is new.
     pub(super) idle_for: Option<Duration>,
@@ -203,7 +203,7 @@
     ) -> Result<PooledConnection, AcquireError> {
         let connect = async {
             let permit = self.acquire_permit().await;
-            ClientConnection::open(pool.address, permit).await
+            HttpConnection::open(pool.address, permit).await
         };
         match timeout(connect_timeout, connect).await {
             Ok(Ok(connection)) => Ok(PooledConnection { connection, pool: pool.clone(), idle_for: None }),
@@ -221,7 +221,7 @@
     }
 
     /// Keeps a connection after a response that was read to its end.
-    pub(super) fn keep(&self, connection: ClientConnection, pool: &EndpointPool) {
+    pub(super) fn keep(&self, connection: HttpConnection, pool: &EndpointPool) {
         pool.idle.borrow_mut().push(IdleConnection { connection, idle_since: Instant::now() });
         self.budget.notify_waiters();
     }
--- a/src/net/upstream/upstreams.rs
+++ b/src/net/upstream/upstreams.rs
@@ -14,7 +14,7 @@
 use crate::net::discovery::endpoints::{AppliedEntries, Endpoints};
 use crate::net::discovery::labels::PlacementLabels;
 use crate::net::discovery::parser::ListEntry;
-use crate::net::http_client::ClientConnection;
+use crate::net::http_client::HttpConnection;
 use crate::net::upstream::known_endpoints::KnownEndpoints;
 use crate::net::upstream::pool::{AcquireError, ConnectionPools, EndpointPool, PooledConnection};
 
@@ -118,7 +118,7 @@
     }
 
     /// Keeps a connection for further requests, if it still leads to an endpoint that takes them.
-    pub(super) fn keep(&self, id: EndpointId, connection: ClientConnection, pool: &Rc<EndpointPool>) {
+    pub(super) fn keep(&self, id: EndpointId, connection: HttpConnection, pool: &Rc<EndpointPool>) {
         if self.leads_to_active(id, pool) {
             self.pools.keep(connection, pool);
         }
