--- a/src/net/discovery/apply.rs
+++ b/src/net/discovery/apply.rs
@@ -1,5 +1,9 @@
 //! How a list of any length is applied: short ones at once, long ones prepared on a thread of their own and published
 //! in parts.
+//!
+//! Each list reaches two places: the directory (upstream's `KnownEndpoints`) decides where an endpoint can be reached,
+//! and the balancer's table which endpoints are selected. `publish` updates both for a long list: the directory at once
+//! and the table in parts. Endpoints known before stay reachable until the last part is announced.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -56,9 +60,10 @@
     Superseded,
 }
 
-/// A point in the history of the list: after which move of discovery, and after how many lists.
+/// A point in the order in which this node applies lists: after which move of discovery, and after how many lists. It
+/// is the node's own count; the version of a list is discovery's.
 #[derive(Clone, Copy, PartialEq)]
-struct ListRevision {
+struct ApplyPoint {
     moves: u64,
     applied_lists: u64,
 }
@@ -88,13 +93,13 @@
 pub struct ListApplier {
     directory: Rc<dyn EndpointDirectory>,
     labels: Arc<PlacementLabels>,
-    /// The newest version applied. Versions are an agent's own; none is known of a new one.
+    /// The newest version applied. Each discovery counts its own; none is known after a move.
     version: Cell<Option<u64>>,
     /// How often discovery has moved: what was asked before a move says nothing after it.
     moves: Cell<u64>,
     applied_lists: Cell<u64>,
     /// Held by the one long list that is being prepared or published.
-    long_list_turn: Mutex<()>,
+    long_list_lock: Mutex<()>,
     /// Whether the decisions are being notified of a list in parts.
     is_publishing: watch::Sender<bool>,
     /// Whether discovery has sent anything since the start.
@@ -110,13 +115,13 @@
             version: Cell::default(),
             moves: Cell::default(),
             applied_lists: Cell::default(),
-            long_list_turn: Mutex::default(),
+            long_list_lock: Mutex::default(),
             is_publishing: watch::channel(false).0,
             first_snapshot: watch::channel(false).0,
         })
     }
 
-    /// The newest version applied, of this agent's.
+    /// The newest version applied, as discovery at the present address counts.
     pub fn version(&self) -> Option<u64> {
         self.version.get()
     }
@@ -126,7 +131,7 @@
         self.moves.get()
     }
 
-    /// Discovery has moved: no version of the new agent is known.
+    /// Discovery has moved: no version at the new address is known.
     pub fn discovery_moved(&self) {
         self.moves.set(self.moves.get() + 1);
         self.version.set(None);
@@ -148,14 +153,14 @@
         self.first_snapshot.send_if_modified(|is_received| !std::mem::replace(is_received, true));
     }
 
-    fn revision(&self) -> ListRevision {
-        ListRevision { moves: self.moves.get(), applied_lists: self.applied_lists.get() }
+    fn apply_point(&self) -> ApplyPoint {
+        ApplyPoint { moves: self.moves.get(), applied_lists: self.applied_lists.get() }
     }
 
-    /// Whether a list received at this revision is out of date: after a move, or a newer list.
-    fn is_superseded(&self, received_at: ListRevision, version: u64) -> bool {
+    /// Whether a list received at this point is out of date: after a move, or a newer list.
+    fn is_superseded(&self, received_at: ApplyPoint, version: u64) -> bool {
         let discovery_moved = received_at.moves != self.moves.get();
-        let newer_list_applied = received_at != self.revision() && Some(version) < self.version.get();
+        let newer_list_applied = received_at != self.apply_point() && Some(version) < self.version.get();
         discovery_moved || newer_list_applied
     }
 
@@ -169,7 +174,7 @@
         received: ReceivedList,
         kind: EndpointUpdateKind,
     ) -> Result<ApplyOutcome, JoinError> {
-        let received_at = self.revision();
+        let received_at = self.apply_point();
         if received.is_long {
             // In a task of its own: a move ends the watch that has brought this list, and half of it would be
             // applied.
@@ -193,9 +198,9 @@
         events: Rc<dyn EventSink>,
         list: EndpointList,
         kind: EndpointUpdateKind,
-        received_at: ListRevision,
+        received_at: ApplyPoint,
     ) -> Result<ApplyOutcome, JoinError> {
-        let _turn = self.long_list_turn.lock().await;
+        let _lock = self.long_list_lock.lock().await;
         let list = Arc::new(list);
         while !self.is_superseded(received_at, list.version) {
             let known = self.directory.endpoints();
@@ -239,9 +244,9 @@
         }
         drop_in_background(self.directory.finish_replacement());
         self.is_publishing.send_replace(false);
-        // The versions of a new agent have nothing to do with the old one's.
-        let is_same_agent = self.moves.get() == moves;
-        self.list_applied(if is_same_agent { Some(version) } else { self.version.get() });
+        // The versions at a new address have nothing to do with those at the old one.
+        let is_same_address = self.moves.get() == moves;
+        self.list_applied(if is_same_address { Some(version) } else { self.version.get() });
         self.signal_first_snapshot();
     }
 
--- a/src/net/discovery/parser.rs
+++ b/src/net/discovery/parser.rs
@@ -19,7 +19,7 @@
 /// A list of endpoints, or a delta of it.
 #[derive(Deserialize, Default)]
 pub struct EndpointList {
-    /// The version, as the agent counts.
+    /// The version, as discovery counts.
     #[serde(rename = "index")]
     pub version: u64,
     /// Whether it is the full list, and not a delta.
--- a/src/net/discovery/timeout.rs
+++ b/src/net/discovery/timeout.rs
@@ -6,28 +6,32 @@
 
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// Whatever discovery has to notify counts as notified after this time, so no spread is longer, however many the
-/// nodes.
+/// From this time on after discovery has a change, a change that the node missed counts against the node, whether or
+/// not it has arrived. So no spread of calls is longer, however many the nodes.
 pub const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
-/// How long the response takes to a call that is made again after one that failed. What that one may have missed
-/// counts as notified [`NOTIFIED_AFTER`] after it began, so the pause ends this much earlier.
+/// The same after a move: from this time on after SIGHUP, a change that the new address has and the node missed counts
+/// against the node.
+pub const NOTIFIED_AFTER_MOVE: Duration = Duration::from_secs(4);
+/// How long the response takes to a call that is made again after one that failed. What that one missed counts
+/// against the node from [`NOTIFIED_AFTER`] after it began, so the pause ends this much earlier.
 pub const RETRY_RESPONSE_TIME: Duration = Duration::from_millis(400);
-/// How long a watch waits at the agent for a change, in milliseconds.
+/// How long a watch waits at discovery for a change, in milliseconds.
 pub(super) const WATCH_WAIT_MS: u64 = 4_000;
 /// How much later the response to a watch counts as lost.
 const WATCH_GRACE: Duration = Duration::from_millis(1_000);
-/// How long a watch may be without a response in all. A change counts as notified 6 s after discovery had it, arrived
-/// or not, so a watch on a dead connection ends sooner.
+/// How long a watch may be without a response in all: less than [`NOTIFIED_AFTER`], so that a watch on a dead
+/// connection ends before the changes that it misses count against the node.
 pub const WATCH_TIMEOUT: Duration = Duration::from_millis(WATCH_WAIT_MS).saturating_add(WATCH_GRACE);
 /// How long a fetch of the full list may be without a response.
 pub const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the first call to a new agent may be: what it knows counts as notified 4 s after the move.
+/// How long the first call after a move may be without a response. Several such calls fit into
+/// [`NOTIFIED_AFTER_MOVE`].
 pub const FIRST_CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// A response that has begun to arrive may pass these time-outs while no pause in it is longer than this. A long list
 /// on a busy core takes its time, and a call that is ended and made again takes it twice.
 pub const MAX_RESPONSE_PAUSE: Duration = Duration::from_millis(250);
-/// By how much a response may pass the time-outs at most. After a move it has arrived by then before it counts as
-/// notified.
+/// By how much a response may pass the time-outs at most. The first response after a move has arrived within
+/// [`NOTIFIED_AFTER_MOVE`] even so.
 pub const MAX_TIMEOUT_EXTENSION: Duration = Duration::from_millis(2_500);
 /// Where the thread was busy for longer than a time-out, the time-out passes before what has arrived is read. The
 /// work gets this much more time then.
@@ -38,7 +42,7 @@
 pub struct WatchTimeout {
     deadline: Instant,
     /// By how much a response that is arriving may pass the deadline. A call that ended any later than leaves time
-    /// for the response to the next one would miss what counts as notified by then.
+    /// for the response to the next one would miss changes that count against the node by then.
     max_extension: Duration,
 }
 
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -69,7 +69,7 @@
         self.spawn_watch(events, delay);
     }
 
-    /// Goes on with the agent at this address. Its versions have nothing to do with the old one's, so it is asked for
+    /// Goes on with discovery at this address. Its versions have nothing to do with the old one's, so it is asked for
     /// the full list first, and what the old one still sends is dropped with its watch.
     pub fn move_to(self: &Rc<Self>, events: &Rc<dyn EventSink>, address: SocketAddr) {
         if self.client.address.replace(address) != address {
@@ -99,7 +99,7 @@
     }
 
     /// Fetches the full list and applies it, unless discovery has moved since `moves` or the watch has brought
-    /// something newer meanwhile. The new agent is asked for its full list anyway.
+    /// something newer meanwhile. The watch asks the new address for its full list anyway.
     async fn fetch_once(&self, events: &Rc<dyn EventSink>, moves: u64) -> Result<(), DiscoveryError> {
         let received = self.client.call(&mut None, LIST_PATH, FETCH_TIMEOUT).await?;
         // Moves are counted: after two of them the address may be the same again.
--- a/src/net/upstream/known_endpoints.rs
+++ b/src/net/upstream/known_endpoints.rs
@@ -1,4 +1,8 @@
 //! The endpoints that attempts may be sent to.
+//!
+//! [`KnownEndpoints`] decides where an endpoint can be reached; the balancer's table decides which endpoints are
+//! selected. Discovery's `publish` updates both with a long list: this one at once and the table in parts. Endpoints
+//! known before stay reachable until the last part is announced.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
