--- a/src/net/counter/connection.rs
+++ b/src/net/counter/connection.rs
@@ -17,10 +17,10 @@
 use crate::net::event_sink::EventSink;
 
 /// A connection on which nothing has arrived for this many time-outs, though a reply is due, is closed and opened
-/// anew. Otherwise a single connection that falls silent while the counter replies on others would end each call on
+/// anew. Otherwise a single connection on which the counter stops responding while it replies on others would end each call on
 /// it as timed out, for which the node pauses all counter calls. Where every reply takes longer than this,
 /// connections are opened for nothing, one each in this time.
-const MAX_SILENT_TIMEOUTS: u32 = 3;
+const MAX_TIMEOUTS_WITHOUT_REPLY: u32 = 3;
 
 /// A call that waits to be written.
 pub(super) struct QueuedCall {
@@ -128,8 +128,8 @@
     #[error("the connection was closed")]
     Closed,
     /// Nothing has arrived for too long.
-    #[error("the counter is silent")]
-    Silent,
+    #[error("the counter is not responding")]
+    NotResponding,
     /// A reply that no call waits for.
     #[error("a reply without a call")]
     UnexpectedReply,
@@ -158,13 +158,13 @@
 /// The times at which a session has something to do, if nothing arrives before.
 struct SessionTimers {
     call_expires_at: Option<Instant>,
-    silent_at: Option<Instant>,
+    not_responding_at: Option<Instant>,
     reply_incomplete_at: Option<Instant>,
 }
 
 impl SessionTimers {
     fn next(&self) -> Option<Instant> {
-        let times = [self.call_expires_at, self.silent_at, self.reply_incomplete_at];
+        let times = [self.call_expires_at, self.not_responding_at, self.reply_incomplete_at];
         times.into_iter().flatten().min()
     }
 }
@@ -243,12 +243,12 @@
 
     fn timers(&self) -> SessionTimers {
         let oldest_waiting = self.pending.iter().find(|call| !call.timed_out);
-        let silent_at = |call: &PendingIncrement| {
-            call.made_at.max(self.last_received_at) + self.call_timeout * MAX_SILENT_TIMEOUTS
+        let not_responding_at = |call: &PendingIncrement| {
+            call.made_at.max(self.last_received_at) + self.call_timeout * MAX_TIMEOUTS_WITHOUT_REPLY
         };
         SessionTimers {
             call_expires_at: oldest_waiting.map(|call| call.made_at + self.call_timeout),
-            silent_at: self.pending.front().map(silent_at),
+            not_responding_at: self.pending.front().map(not_responding_at),
             reply_incomplete_at: self.partial_reply_since.map(|since| since + self.call_timeout / 2),
         }
     }
@@ -291,8 +291,8 @@
         if has_passed(timers.reply_incomplete_at) {
             return Err(ConnectionEnd::IncompleteReply);
         }
-        if has_passed(timers.silent_at) {
-            return Err(ConnectionEnd::Silent);
+        if has_passed(timers.not_responding_at) {
+            return Err(ConnectionEnd::NotResponding);
         }
         for call in &mut self.pending {
             if !call.timed_out && call.made_at + self.call_timeout <= now {
--- a/src/net/descriptor_budget.rs
+++ b/src/net/descriptor_budget.rs
@@ -26,7 +26,7 @@
     open_downstream: Cell<usize>,
     /// Signalled when a permit was returned or a connection can be closed.
     changed: Notify,
-    next_turn: Cell<u64>,
+    next_idle_order: Cell<u64>,
     /// Client connections so new that their first request may still be unread.
     unclassified: Cell<usize>,
     /// Client connections without an open request, in the order in which they are closed.
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct IdleRegistration {
     has_sent_request: bool,
-    turn: u64,
+    idle_order: u64,
 }
 
 /// Which side a connection belongs to.
@@ -65,7 +65,7 @@
             open_connections: Cell::new(0),
             open_downstream: Cell::new(0),
             changed: Notify::new(),
-            next_turn: Cell::new(0),
+            next_idle_order: Cell::new(0),
             unclassified: Cell::new(0),
             idle_downstream: RefCell::default(),
         })
@@ -147,9 +147,9 @@
 
     /// A client connection is idle; it may be asked to close through `close`.
     pub fn register_idle(&self, close: Rc<Notify>, has_sent_request: bool) -> IdleRegistration {
-        let turn = self.next_turn.get();
-        self.next_turn.set(turn + 1);
-        let registration = IdleRegistration { has_sent_request, turn };
+        let idle_order = self.next_idle_order.get();
+        self.next_idle_order.set(idle_order + 1);
+        let registration = IdleRegistration { has_sent_request, idle_order };
         self.idle_downstream.borrow_mut().insert(registration, close);
         self.notify_waiters();
         registration
@@ -165,17 +165,17 @@
         self.unclassified.set(self.unclassified.get() + 1);
     }
 
-    /// Whether a new client connection has a request or stays silent is known by now.
+    /// Whether a new client connection has a request or stays without one is known by now.
     pub fn connection_classified(&self) {
         self.unclassified.set(self.unclassified.get() - 1);
         self.notify_waiters();
     }
 
-    /// Asks a client connection to close: the first that has been silent from its start, or else the one that has
+    /// Asks a client connection to close: the first that has been without a request from its start, or else the one that has
     /// been idle for longest. False if there is none.
     ///
     /// While at least half of the clients' share is not classified yet, connections that have sent requests are not
-    /// closed: a flood of silent connections would push out those in use. With fewer, waiting for them would keep out
+    /// closed: a flood of connections without a request would push out those in use. With fewer, waiting for them would keep out
     /// new clients.
     pub fn close_idle_downstream(&self) -> bool {
         let is_flooded = self.unclassified.get() * 2 >= self.max_downstream;
--- a/src/net/downstream/connection.rs
+++ b/src/net/downstream/connection.rs
@@ -106,7 +106,7 @@
         mut http_connection: Pin<&mut impl Future>,
         mut close_when_idle: watch::Receiver<u32>,
     ) -> ServingEnd {
-        // The first request of a new connection may be unread, so only one that stays silent counts as idle.
+        // The first request of a new connection may be unread, so only one that stays without a request counts as idle.
         let mut first_request_timeout = pin!(sleep(FIRST_REQUEST_TIMEOUT));
         let mut first_request_awaited = true;
         let mut close_due = Instant::now() + CLOSE_TIMEOUT;
