--- a/src/net/downstream/request.rs
+++ b/src/net/downstream/request.rs
@@ -137,8 +137,9 @@
     rule: &'a ClassRule,
 }
 
-/// The parts of the weight header.
-struct Weight {
+/// What the weight header holds: the units of quota that the request uses, and the nodes that get the account's
+/// requests, as their number and the first of them.
+struct UnitsAndAccountNodes {
     units: f64,
     account_node_count: u32,
     first_account_node: u32,
@@ -175,15 +176,15 @@
         let plan = self.plan(&head.headers)?;
         let account = account(head.uri.query())?;
         let deadline_ms = deadline_ms(&head.headers)?;
-        let weight = self.weight(&head.headers)?;
+        let quota = self.units_and_account_nodes(&head.headers)?;
         Ok(NewRequest {
             id,
             account,
             class: class.index,
             plan,
-            units: weight.units,
-            first_account_node: weight.first_account_node,
-            account_node_count: weight.account_node_count,
+            units: quota.units,
+            first_account_node: quota.first_account_node,
+            account_node_count: quota.account_node_count,
             is_retry: header_text(&head.headers, &headers::RETRY) == Some("1"),
             deadline: received_at + deadline_ms * 1000,
         })
@@ -201,18 +202,18 @@
         self.plans.iter().position(|plan| plan == name).ok_or(RequestError::UnknownPlan)
     }
 
-    fn weight(&self, headers: &HeaderMap) -> Result<Weight, RequestError> {
+    fn units_and_account_nodes(&self, headers: &HeaderMap) -> Result<UnitsAndAccountNodes, RequestError> {
         header_text(headers, &headers::WEIGHT)
             .and_then(parse_weight)
-            .filter(|weight| self.weight_in_range(weight))
+            .filter(|quota| self.is_in_range(quota))
             .ok_or(RequestError::NoWeight)
     }
 
-    fn weight_in_range(&self, weight: &Weight) -> bool {
-        weight.units > 0.0
-            && weight.units <= self.max_request_units
-            && (1..=self.node_count).contains(&weight.account_node_count)
-            && weight.first_account_node < self.node_count
+    fn is_in_range(&self, quota: &UnitsAndAccountNodes) -> bool {
+        quota.units > 0.0
+            && quota.units <= self.max_request_units
+            && (1..=self.node_count).contains(&quota.account_node_count)
+            && quota.first_account_node < self.node_count
     }
 }
 
@@ -281,7 +282,7 @@
 }
 
 /// Reads `units=1.5,spread=2,first=0`, in any order. Unknown parts are ignored; one that comes twice says nothing.
-fn parse_weight(text: &str) -> Option<Weight> {
+fn parse_weight(text: &str) -> Option<UnitsAndAccountNodes> {
     let mut units = None;
     let mut account_node_count = None;
     let mut first_account_node = None;
@@ -297,7 +298,7 @@
             return None;
         }
     }
-    Some(Weight {
+    Some(UnitsAndAccountNodes {
         units: units?,
         account_node_count: account_node_count?,
         first_account_node: first_account_node?,
--- a/src/net/downstream/response.rs
+++ b/src/net/downstream/response.rs
@@ -13,7 +13,7 @@
 pub enum ClientResponse {
     /// The body of an endpoint's response, with status 200.
     Served(Bytes),
-    /// Rejected without effect, so a retry is harmless.
+    /// Rejected; a retry by the client is harmless.
     Rejected {
         /// When the client should come back, from now; 0 means no advice.
         retry_after: Micros,
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -22,7 +22,9 @@
 
 pub use crate::net::open_requests::{DuplicateRequestId, FinalResponse};
 
-/// A request without a final response this long before the client stops waiting has failed.
+/// A request without a final response this long before the client stops waiting is answered 504. This is less than
+/// `ATTEMPT_MARGIN` of the open requests: attempts end first, so a request that hangs at an endpoint is answered 502
+/// or 503 before, and 504 is left for one that still waits for something else, such as the counter.
 const RESPONSE_MARGIN: Micros = 15_000;
 
 /// One edge node's event loop.
--- a/src/net/open_requests.rs
+++ b/src/net/open_requests.rs
@@ -13,13 +13,15 @@
 use crate::net::upstream::ForwardedRequest;
 
 /// Attempts are cancelled this long before the client stops waiting, so that the final response still reaches it.
+/// This is more than the event loop's `RESPONSE_MARGIN`: an attempt ends first, so a request that hangs at an endpoint
+/// is answered 502 or 503, and 504 is left for one that still waits for something else, such as the counter.
 const ATTEMPT_MARGIN: Micros = 25_000;
 
 /// The one final response to a request.
 pub enum FinalResponse {
     /// The body of an endpoint's response.
     Served(Bytes),
-    /// Rejected without effect, so that a retry is harmless.
+    /// Rejected; a retry by the client is harmless.
     Rejected {
         /// When the client should come back, from now; 0 means no advice.
         retry_after: Micros,
