--- a/src/app.rs
+++ b/src/app.rs
@@ -191,6 +191,9 @@
 
     /// Shuts down by the schedule: closes idle connections, then the listener, fails what is still unanswered, and
     /// returns once everything is answered and written, or its time is up.
+    ///
+    /// Idle connections are closed a second time with the listener, for those that clients opened in between. From
+    /// then on the node returns early once it is drained.
     async fn shut_down(&self, accepting: &JoinHandle<()>) {
         let started_at = Instant::now();
         let schedule = &self.shutdown_schedule;
@@ -213,7 +216,8 @@
         }
     }
 
-    /// Whether no client is connected or still waits for a response, and the counter's calls have ended.
+    /// Whether the listener is done with its backlog, no client is connected or still waits for a response, and the
+    /// counter's calls have ended.
     fn is_drained(&self, accepting: &JoinHandle<()>) -> bool {
         accepting.is_finished()
             && !self.event_loop.has_waiting_clients()
@@ -222,6 +226,7 @@
     }
 }
 
+/// The longest total time-out of all classes, which [`ShutdownSchedule`] counts as 3 s at most.
 fn longest_total_timeout(settings: &Settings) -> Duration {
     let longest = settings.classes.iter().map(|class| class.total_timeout).max();
     Duration::from_micros(longest.unwrap_or(0))
--- a/src/net/shutdown_schedule.rs
+++ b/src/net/shutdown_schedule.rs
@@ -1,10 +1,15 @@
 //! The schedule of a graceful shutdown, from SIGTERM on.
+//!
+//! Idle connections are closed twice: before the listener closes, so that their clients can connect anew elsewhere or
+//! here, and again as it closes, for the connections opened in between. Once the listener has closed, the process exits
+//! before the schedule's end as soon as the backlog is accepted, no client is connected or waits, and the counter's
+//! calls have ended.
 
 use std::time::Duration;
 
-/// The process is killed this long after SIGTERM at the soonest: the longest deadline, counted as three seconds where
-/// it is longer, and the kill margin. What has no response then is lost.
-const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// The process is killed this long after SIGTERM at the soonest: the longest total time-out of the settings' classes,
+/// counted as three seconds where it is longer, and the kill margin. What has no response then is lost.
+const MAX_COUNTED_TIMEOUT: Duration = Duration::from_secs(3);
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 /// New connections go on arriving for 0.4 s, so idle ones are closed after that. Clients whose request crosses the
 /// close can still connect anew until the listener closes.
@@ -13,7 +18,7 @@
 const CLOSE_LISTENER_AT: Duration = Duration::from_millis(900);
 const CLOSE_LISTENER_BEFORE_KILL: Duration = Duration::from_millis(200);
 /// Open requests fail this long before the kill, and the process exits this long before it: the time between is for
-/// responses still being written. With the shortest deadlines both follow the close of the listener directly.
+/// responses still being written. With the shortest time-outs both follow the close of the listener directly.
 const FAIL_REQUESTS_BEFORE_KILL: Duration = Duration::from_millis(400);
 const EXIT_BEFORE_KILL: Duration = Duration::from_millis(200);
 /// The least time in which responses are still written after open requests have failed.
@@ -32,12 +37,12 @@
 }
 
 impl ShutdownSchedule {
-    /// The schedule for settings with this longest deadline.
+    /// The schedule for settings whose classes have this longest total time-out.
     ///
-    /// With short deadlines the times before the kill would precede the close of the listener, and the process would
+    /// With short time-outs the times before the kill would precede the close of the listener, and the process would
     /// exit with responses unwritten; so each step follows the one before.
-    pub fn new(longest_deadline: Duration) -> Self {
-        let killed_at = longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_MARGIN;
+    pub fn new(longest_total_timeout: Duration) -> Self {
+        let killed_at = longest_total_timeout.min(MAX_COUNTED_TIMEOUT) + KILL_MARGIN;
         let close_listener_at = CLOSE_LISTENER_AT.min(killed_at - CLOSE_LISTENER_BEFORE_KILL);
         let fail_requests_at = (killed_at - FAIL_REQUESTS_BEFORE_KILL).max(close_listener_at);
         let exit_at = (killed_at - EXIT_BEFORE_KILL).max(fail_requests_at + MIN_FLUSH_TIME);
