--- a/src/app.rs
+++ b/src/app.rs
@@ -162,8 +162,8 @@
         Node { event_loop, discovery, counter, downstream, budget, shutdown_schedule, polls_endpoint_list }
     }
 
-    /// Accepts clients until the listener closes. Where the endpoint list is pushed, the first clients wait for it. Where
-    /// it is polled, all nodes poll one service and their first calls are spread over time, so clients don't wait.
+    /// Accepts clients until the listener closes. Where an agent pushes the endpoint list, the first clients wait for
+    /// it. Where nodes poll a shared service, their first calls are spread over time, so clients don't wait.
     fn accept(&self, listener: TcpListener) -> impl Future<Output = ()> + 'static {
         let discovery = self.discovery.clone();
         let polls_endpoint_list = self.polls_endpoint_list;
--- a/src/net/counter/client.rs
+++ b/src/net/counter/client.rs
@@ -13,8 +13,9 @@
 use crate::net::counter::resp::Increment;
 use crate::net::event_sink::EventSink;
 
-/// Connections: a slow part of the counter delays only the keys that share a connection with its own.
-const CONNECTIONS: u64 = 4;
+/// How many connections there are: a slow part of the counter delays only the keys that share a connection with its
+/// own.
+const CONNECTION_COUNT: u64 = 4;
 /// Most calls that may be queued for one connection.
 const MAX_QUEUED_CALLS: usize = 4096;
 /// The counter keeps no key for longer, in milliseconds, and adds no more in one call, in units.
@@ -44,7 +45,7 @@
 
     /// Adds to a counter; the outcome comes as an event.
     pub fn increment(&self, events: &dyn EventSink, key: CounterKey, amount: f64, keep_for: Micros) {
-        let connection = self.connections.borrow()[(key.0 % CONNECTIONS) as usize].clone();
+        let connection = self.connections.borrow()[(key.0 % CONNECTION_COUNT) as usize].clone();
         let is_queue_full = connection.queue.borrow().len() >= MAX_QUEUED_CALLS;
         if self.address.get().is_none() || !amount.is_finite() || is_queue_full {
             events.send(Event::CounterReplied { key, outcome: Outcome::ConnectFailed, total: 0.0 });
@@ -105,5 +106,5 @@
 }
 
 fn new_connections() -> Vec<Rc<CounterConnection>> {
-    (0..CONNECTIONS).map(|_| Rc::default()).collect()
+    (0..CONNECTION_COUNT).map(|_| Rc::default()).collect()
 }
--- a/src/net/counter/connection.rs
+++ b/src/net/counter/connection.rs
@@ -17,8 +17,8 @@
 use crate::net::event_sink::EventSink;
 
 /// A connection on which nothing has arrived for this many time-outs, though a reply is due, is closed and opened
-/// anew. Otherwise a single connection on which the counter stops responding while it replies on others would end each call on
-/// it as timed out, for which the node pauses all counter calls. Where every reply takes longer than this,
+/// anew. Otherwise a single connection on which the counter stops responding while it replies on others would end each
+/// call on it as timed out, for which the node pauses all counter calls. Where every reply takes longer than this,
 /// connections are opened for nothing, one each in this time.
 const MAX_TIMEOUTS_WITHOUT_REPLY: u32 = 3;
 
--- a/src/net/descriptor_budget.rs
+++ b/src/net/descriptor_budget.rs
@@ -15,8 +15,8 @@
 /// The fewest permits in all, and for clients.
 const MIN_PERMITS: usize = 4;
 const MIN_DOWNSTREAM_PERMITS: usize = 2;
-/// How long a connection that was asked to close has for it before the next one is asked.
-const CLOSE_TIME: Duration = Duration::from_millis(20);
+/// How long a connection that was asked to close may take before the next one is asked.
+const EVICTION_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// How many connections may be open, and how many are.
 pub struct DescriptorBudget {
@@ -38,6 +38,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct IdleRegistration {
     has_sent_request: bool,
+    /// Rises with each registration: the lowest has been idle for longest.
     idle_order: u64,
 }
 
@@ -124,7 +125,7 @@
                 changed.await;
                 continue;
             }
-            if let Ok(permit) = timeout(CLOSE_TIME, self.wait_for_permit(&try_acquire)).await {
+            if let Ok(permit) = timeout(EVICTION_TIMEOUT, self.wait_for_permit(&try_acquire)).await {
                 return permit;
             }
         }
@@ -171,12 +172,12 @@
         self.notify_waiters();
     }
 
-    /// Asks a client connection to close: the first that has been without a request from its start, or else the one that has
-    /// been idle for longest. False if there is none.
+    /// Asks a client connection to close: the first that has been without a request from its start, or else the one
+    /// that has been idle for longest. False if there is none.
     ///
     /// While at least half of the clients' share is not classified yet, connections that have sent requests are not
-    /// closed: a flood of connections without a request would push out those in use. With fewer, waiting for them would keep out
-    /// new clients.
+    /// closed: a flood of connections without a request would push out those in use. With fewer, waiting for them
+    /// would keep out new clients.
     pub fn close_idle_downstream(&self) -> bool {
         let is_flooded = self.unclassified.get() * 2 >= self.max_downstream;
         let mut idle = self.idle_downstream.borrow_mut();
--- a/src/net/discovery/apply.rs
+++ b/src/net/discovery/apply.rs
@@ -245,8 +245,8 @@
         drop_in_background(self.directory.finish_replacement());
         self.is_publishing.send_replace(false);
         // The versions at a new address have nothing to do with those at the old one.
-        let is_same_address = self.moves.get() == moves;
-        self.list_applied(if is_same_address { Some(version) } else { self.version.get() });
+        let has_not_moved = self.moves.get() == moves;
+        self.list_applied(if has_not_moved { Some(version) } else { self.version.get() });
         self.signal_first_snapshot();
     }
 
--- a/src/net/discovery/list_client.rs
+++ b/src/net/discovery/list_client.rs
@@ -28,8 +28,8 @@
 }
 
 impl ListClient {
-    /// Asks for a list. Discovery may take `wait` to begin its response, and as long as the list goes on arriving within
-    /// the limits of [`WatchTimeout`]. The connection is used if it is open, and kept after success.
+    /// Asks for a list. Discovery may take `wait` to begin its response, and as long as the list goes on arriving
+    /// within the limits of [`WatchTimeout`]. The connection is used if it is open, and kept after success.
     pub(super) async fn call(
         &self,
         connection: &mut Option<HttpConnection>,
--- a/src/net/discovery/schedule.rs
+++ b/src/net/discovery/schedule.rs
@@ -7,13 +7,14 @@
 
 /// The shortest first pause where all nodes call one shared service.
 const MIN_SHARED_PAUSE: Duration = Duration::from_millis(20);
-/// The first pause after a failed call to an agent. It responds at no cost, and a watch goes on as
-/// one while each call comes within 200 ms of the last response.
+/// The first pause after a failed call to an agent. It responds at no cost, and a watch goes on as one while each call
+/// comes within 200 ms of the last response.
 const AGENT_FIRST_PAUSE: Duration = Duration::from_millis(20);
 /// The longest of these pauses.
 pub const AGENT_MAX_PAUSE: Duration = Duration::from_millis(160);
 /// What each node of the fleet adds to the spread of first calls, and of pauses after failed calls, at a shared
-/// service. That has a fixed capacity and goes on working on calls that nobody waits for any more: nodes that all call at once, and again as soon as they have failed, keep it overloaded for ever.
+/// service. That has a fixed capacity and goes on working on calls that nobody waits for any more: nodes that all call
+/// at once, and again as soon as they have failed, keep it overloaded for ever.
 const SPREAD_PER_NODE: Duration = Duration::from_millis(50);
 /// How many times longer the longest pause is than the first at a shared service.
 pub const MAX_PAUSE_FACTOR: u32 = 2;
@@ -21,7 +22,7 @@
 const MAX_FIRST_CALL_DELAY: Duration = NOTIFIED_AFTER.saturating_sub(FETCH_TIMEOUT);
 /// The longest pause between calls until discovery has sent its first list. After a move several calls fit into
 /// [`NOTIFIED_AFTER_MOVE`](crate::net::discovery::timeout::NOTIFIED_AFTER_MOVE).
-const MAX_PAUSE_AFTER_MOVE: Duration = Duration::from_millis(500);
+const MAX_PAUSE_BEFORE_FIRST_LIST: Duration = Duration::from_millis(500);
 /// The share of a limited pause that is drawn at random.
 const JITTER_SHARE: f64 = 0.2;
 
@@ -56,15 +57,15 @@
         self.backoff.random_part_of(self.max_first_call_delay)
     }
 
-    /// The pause after a call that failed `call_time` after it began. A change of the time at
-    /// which the call began counts against the node from [`NOTIFIED_AFTER`] on, however the call ended.
+    /// The pause after a call that failed `call_time` after it began. A change of the time at which the call began
+    /// counts against the node from [`NOTIFIED_AFTER`] on, however the call ended.
     pub fn pause_after_failure(&mut self, call_time: Duration) -> Duration {
         self.limited_pause(NOTIFIED_AFTER.saturating_sub(RETRY_RESPONSE_TIME + call_time))
     }
 
     /// The pause after a call that failed before discovery has sent its first list, at the start or after a move.
     pub fn pause_before_first_list(&mut self) -> Duration {
-        self.limited_pause(MAX_PAUSE_AFTER_MOVE)
+        self.limited_pause(MAX_PAUSE_BEFORE_FIRST_LIST)
     }
 
     /// A call succeeded: the next pause is the first again.
--- a/src/net/discovery/timeout.rs
+++ b/src/net/discovery/timeout.rs
@@ -24,8 +24,8 @@
 pub const WATCH_TIMEOUT: Duration = Duration::from_millis(WATCH_WAIT_MS).saturating_add(WATCH_GRACE);
 /// How long a fetch of the full list may be without a response.
 pub const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the first call after a move may be without a response. Several such calls fit into
-/// [`NOTIFIED_AFTER_MOVE`].
+/// How long a call for the first list, at the start or after a move, may be without a response. Several such calls
+/// fit into [`NOTIFIED_AFTER_MOVE`].
 pub const FIRST_CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// A response that has begun to arrive may pass these time-outs while no pause in it is longer than this. A long list
 /// on a busy core takes its time, and a call that is ended and made again takes it twice.
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -69,8 +69,8 @@
         self.spawn_watch(events, delay);
     }
 
-    /// Goes on with discovery at this address. Its versions have nothing to do with the old one's, so it is asked for
-    /// the full list first, and what the old one still sends is dropped with its watch.
+    /// Goes on with discovery at this address. Its versions have nothing to do with those at the old address, so it is
+    /// asked for the full list first, and what the old address still sends is dropped with its watch.
     pub fn move_to(self: &Rc<Self>, events: &Rc<dyn EventSink>, address: SocketAddr) {
         if self.client.address.replace(address) != address {
             self.applier.discovery_moved();
--- a/src/net/downstream/listener.rs
+++ b/src/net/downstream/listener.rs
@@ -20,8 +20,8 @@
 use crate::net::downstream::socket;
 use crate::net::event_loop::EventLoop;
 
-/// How long accepting waits for the first endpoint list at most. An agent that is up answers at once; one that
-/// is not responding must not keep clients waiting.
+/// How long accepting waits for the first endpoint list at most. An agent that is up answers at once; one that is not
+/// responding must not keep clients waiting.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(250);
 /// Pause after accepting a connection failed.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
@@ -73,8 +73,8 @@
 
     /// Accepts connections until the listener closes.
     ///
-    /// Waits for `first_list` before the first connection, but no longer than `FIRST_LIST_TIMEOUT`: a change
-    /// that the agent holds counts against the node from its start on, and the list in its configuration may be out of date.
+    /// Waits for `first_list` before the first connection, but no longer than `FIRST_LIST_TIMEOUT`: a change that the
+    /// agent holds counts against the node from its start on, and the list in its configuration may be out of date.
     /// With no descriptor left it closes idle connections; meanwhile new ones wait in the backlog.
     pub async fn accept(self: Rc<Self>, listener: TcpListener, first_list: impl Future<Output = ()>) {
         let _ = timeout(FIRST_LIST_TIMEOUT, first_list).await;
@@ -86,7 +86,7 @@
             match accepted {
                 Ok(Accepted { stream, permit }) => self.serve(stream, permit),
                 Err(error) => {
-                    eprintln!("edge-node: accepting a connection failed: {error}");
+                    eprintln!("edge-node: accepting a connection failed: {error}; retrying");
                     self.budget.close_idle_downstream();
                     sleep(ACCEPT_RETRY_PAUSE).await;
                 }
--- a/src/net/downstream/request.rs
+++ b/src/net/downstream/request.rs
@@ -137,8 +137,7 @@
     rule: &'a ClassRule,
 }
 
-/// What the weight header holds: the units of quota that the request uses, and the nodes that get the account's
-/// requests, as their number and the first of them.
+/// What the weight header ([`headers::WEIGHT`]) holds.
 struct UnitsAndAccountNodes {
     units: f64,
     account_node_count: u32,
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -20,7 +20,7 @@
 /// How long a connection stays unused after a response. A second copy of a response may come some milliseconds
 /// behind it, and on a connection used again by then it would be matched to the next request. After that time it has
 /// come, and its connection is closed for it.
-const MIN_IDLE: Duration = Duration::from_millis(20);
+const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(20);
 
 /// Why there is no connection to an endpoint.
 #[derive(Debug, thiserror::Error)]
@@ -181,8 +181,9 @@
     /// to it are closed.
     pub(super) fn take_idle(&self, pool: &Rc<EndpointPool>) -> Option<PooledConnection> {
         let mut idle = pool.idle.borrow_mut();
-        let is_rested = |connection: &IdleConnection| connection.idle_since.elapsed() >= MIN_IDLE;
-        while let Some(position) = idle.iter().rposition(is_rested) {
+        let may_be_reused =
+            |connection: &IdleConnection| connection.idle_since.elapsed() >= MIN_IDLE_BEFORE_REUSE;
+        while let Some(position) = idle.iter().rposition(may_be_reused) {
             let candidate = idle.remove(position);
             if self.is_usable(&candidate) {
                 return Some(PooledConnection {
--- a/src/protocol/headers.rs
+++ b/src/protocol/headers.rs
@@ -8,7 +8,8 @@
 pub const REQUEST_CLASS: HeaderName = HeaderName::from_static("x-class");
 /// The name of the account's plan: `X-Tariff`.
 pub const PLAN: HeaderName = HeaderName::from_static("x-tariff");
-/// The request's units of quota and the nodes that get the account's requests: `X-Weight`.
+/// The weight of the request on its account's quota: the units that it uses (`units`), the number of nodes that get
+/// the account's requests (`spread`), and the first of these nodes (`first`): `X-Weight`.
 pub const WEIGHT: HeaderName = HeaderName::from_static("x-weight");
 /// How long the sender waits for the response, in milliseconds: `X-Deadline-Ms`.
 pub const DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
