--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,7 +1,7 @@
 //! Discovery: a watch of the endpoint list that never ends, and single fetches.
 //!
 //! Discovery is one of two services, which are called in the same way: an agent on the node's own machine that holds
-//! the list for it, or one shared service that all nodes call. "Discovery" stands for either; "agent" and "shared
+//! the list for it, or one shared service that all nodes call. "Discovery" means either; "agent" and "shared
 //! service" are used where they differ. Discovery moves when a reload of the configuration names another address.
 //!
 //! `watch` decides when to call, `list_client` makes the calls, `parser` reads their lists, and `apply` puts them into
--- a/src/protocol/simulator/incoming.rs
+++ b/src/protocol/simulator/incoming.rs
@@ -130,10 +130,10 @@
     /// Only the entries that changed.
     #[serde(rename = "incr")]
     Delta,
-    /// The whole list.
+    /// The full list.
     #[serde(rename = "total")]
     Snapshot,
-    /// The whole list as the node last had it.
+    /// The full list as the node last had it.
     #[serde(rename = "warm_copy")]
     StaleSnapshot,
     /// Nothing: the watch was interrupted.
--- a/src/protocol/simulator/outgoing.rs
+++ b/src/protocol/simulator/outgoing.rs
@@ -93,7 +93,7 @@
         #[serde(rename = "from_now")]
         after: Micros,
     },
-    /// Fetch the whole endpoint list once.
+    /// Fetch the full endpoint list once.
     #[serde(rename = "Snapshot")]
     FetchEndpoints,
     /// Start to watch the endpoint list.
