--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -18,7 +18,7 @@
 use crate::net::discovery::schedule::WatchSchedule;
 use crate::net::discovery::timeout::{FETCH_TIMEOUT, FIRST_CALL_TIMEOUT, WATCH_TIMEOUT, WATCH_WAIT_MS};
 use crate::net::event_sink::EventSink;
-use crate::net::http_client::ClientConnection;
+use crate::net::http_client::HttpConnection;
 
 /// Where discovery serves the endpoint list.
 const LIST_PATH: &str = "/discovery/hosts";
@@ -69,8 +69,8 @@
         self.spawn_watch(events, delay);
     }
 
-    /// Goes on with the agent at this address. Its versions have nothing to do with the old one's, so it is asked for
-    /// the full list first, and what the old one still sends is dropped with its watch.
+    /// Goes on with discovery at this address. Its versions have nothing to do with those at the old address, so it is
+    /// asked for the full list first, and what the old address still sends is dropped with its watch.
     pub fn move_to(self: &Rc<Self>, events: &Rc<dyn EventSink>, address: SocketAddr) {
         if self.client.address.replace(address) != address {
             self.applier.discovery_moved();
@@ -99,7 +99,7 @@
     }
 
     /// Fetches the full list and applies it, unless discovery has moved since `moves` or the watch has brought
-    /// something newer meanwhile. The new agent is asked for its full list anyway.
+    /// something newer meanwhile. The watch asks the new address for its full list anyway.
     async fn fetch_once(&self, events: &Rc<dyn EventSink>, moves: u64) -> Result<(), DiscoveryError> {
         let received = self.client.call(&mut None, LIST_PATH, FETCH_TIMEOUT).await?;
         // Moves are counted: after two of them the address may be the same again.
@@ -161,7 +161,7 @@
     /// One long poll for changes since the version applied last; without one, a call for the full list.
     async fn watch_once(
         &self,
-        connection: &mut Option<ClientConnection>,
+        connection: &mut Option<HttpConnection>,
         events: &Rc<dyn EventSink>,
     ) -> Result<WatchResult, DiscoveryError> {
         let received = match self.applier.version() {
