--- a/src/decision/action.rs
+++ b/src/decision/action.rs
@@ -14,7 +14,7 @@
         /// Time limit of the attempt; 0 means until the request's deadline.
         timeout: Micros,
     },
-    /// Final response: rejected without effect, so a retry is harmless.
+    /// Final response: rejected; a retry by the client is harmless.
     Reject {
         /// The request.
         request: RequestId,
--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::attempts::{PendingRequest, NO_RETRY_AFTER};
+use super::attempts::PendingRequest;
 use super::balancer::Balancer;
 use super::deferral::DeferralTerms;
 use super::load_shedding::{
@@ -13,8 +13,19 @@
 
 /// A class whose late responses earn at least this share of its weight is served late, too.
 const LEAST_LATE_WEIGHT: f64 = 0.5;
-/// Times that differ by less than one part in this many count as the same timeout of a client.
-const TIMEOUT_PRECISION: Micros = 50;
+/// Timeouts of a client count as the same if they differ by less than the timeout divided by this number.
+const TIMEOUT_TOLERANCE_DIVISOR: u64 = 50;
+
+/// What the load of the fleet says about a new request.
+enum LoadDecision {
+    /// The fleet has room for it.
+    Admit,
+    /// It is shed.
+    Shed {
+        /// When the client should come back, from now; none if it gets no such advice.
+        retry_after: Option<Micros>,
+    },
+}
 
 /// How long clients wait for one request, by class, as the latest request that was no retry showed.
 #[derive(Default)]
@@ -33,7 +44,7 @@
     fn is_full_timeout(&self, class: usize, remaining: Micros) -> bool {
         self.by_class
             .get(&class)
-            .is_some_and(|&timeout| timeout.abs_diff(remaining) < timeout / TIMEOUT_PRECISION)
+            .is_some_and(|&timeout| timeout.abs_diff(remaining) < timeout / TIMEOUT_TOLERANCE_DIVISOR)
     }
 }
 
@@ -53,11 +64,11 @@
         request.units = countable_units(request.units);
         self.quota.record_request(&self.settings, self.now, &request);
         self.client_timeouts.record(&request, self.now);
-        if let Some(retry_after) = self.retry_after_of_overload(&request) {
+        if let LoadDecision::Shed { retry_after } = self.decide_by_load(&request) {
             return self.reject(&request.id, retry_after, actions);
         }
         if self.cannot_meet_objective(&request) || self.cannot_meet_deadline(&request) {
-            return self.reject(&request.id, NO_RETRY_AFTER, actions);
+            return self.reject(&request.id, None, actions);
         }
         let id = request.id.clone();
         let account = request.account;
@@ -81,20 +92,19 @@
         }
     }
 
-    /// If the request is shed for load, when its client should come back. A retry is shed without a time.
-    fn retry_after_of_overload(&self, request: &NewRequest) -> Option<Micros> {
-        let overload =
-            self.load_shedder.time_until_admission(&self.settings, &self.balancer, request, self.now)?;
+    /// Decides by the load of the fleet. A retry is shed without a time to come back.
+    fn decide_by_load(&self, request: &NewRequest) -> LoadDecision {
+        let time_until_admission =
+            self.load_shedder.time_until_admission(&self.settings, &self.balancer, request, self.now);
+        let Some(time_until_admission) = time_until_admission else { return LoadDecision::Admit };
         let limits = &self.settings.limits;
-        if limits.retry_after_allowed && !request.is_retry {
-            Some(overload.clamp(TICK, limits.max_retry_after.max(TICK)))
-        } else {
-            Some(NO_RETRY_AFTER)
-        }
+        let advises_retry = limits.retry_after_allowed && !request.is_retry;
+        let longest = limits.max_retry_after.max(TICK);
+        LoadDecision::Shed { retry_after: advises_retry.then(|| time_until_admission.clamp(TICK, longest)) }
     }
 
     /// Whether a retry can no longer earn its weight: the time since the client's first request, counted
-    /// back from when it gives up, leaves too little of the latency objective. If the client gives each
+    /// back from when it stops waiting, leaves too little of the latency objective. If the client gives each
     /// retry as much time as a first request, this can't be known, and the retry is let pass.
     fn cannot_meet_objective(&self, request: &NewRequest) -> bool {
         let class = &self.settings.classes[request.class];
@@ -103,12 +113,12 @@
         request.is_retry
             && !self.client_timeouts.is_full_timeout(request.class, remaining)
             && class.late_weight < LEAST_LATE_WEIGHT
-            && elapsed + self.balancer.expected_latency() / 2.0 > class.latency_objective as f64
+            && elapsed + self.balancer.fleet_mean_latency() / 2.0 > class.latency_objective as f64
     }
 
-    /// Whether the client gives up before any response could come.
+    /// Whether the client stops waiting before any response could come.
     fn cannot_meet_deadline(&self, request: &NewRequest) -> bool {
-        self.now + TICK + self.balancer.expected_latency() as Micros / 4 > request.deadline
+        self.now + TICK + self.balancer.fleet_mean_latency() as Micros / 4 > request.deadline
     }
 
     /// Applies the quotas to a request, in this order: attempts in flight, then units. What has no plan or
@@ -124,7 +134,7 @@
         let Some(request) = quota_request(&pending.request, turn, &self.settings) else {
             return QuotaDecision::Granted { drawn_units: 0.0 };
         };
-        if self.quota.is_concurrency_exhausted(&request, self.balancer.expected_latency(), now) {
+        if self.quota.is_concurrency_exhausted(&request, self.balancer.fleet_mean_latency(), now) {
             return QuotaDecision::BeyondQuota;
         }
         if request.plan.quota_units_per_second <= 0.0 {
@@ -148,9 +158,9 @@
         let Some(pending) = self.pending.get(id) else { return };
         let Some(plan) = self.settings.plans.get(pending.request.plan) else { return };
         let class = &self.settings.classes[pending.request.class];
-        let expected_latency =
+        let expected_response_time =
             self.load_shedder.expected_response_time(&self.settings, &self.balancer, self.now);
-        let has_room = expected_latency < class.latency_objective as f64 * LEAST_SHED_THRESHOLD;
+        let has_room = expected_response_time < class.latency_objective as f64 * LEAST_SHED_THRESHOLD;
         if has_room && is_profitable_beyond_quota(plan) {
             self.dispatch_admitted(id, actions);
         } else {
@@ -166,7 +176,7 @@
         let is_deferrable = self.settings.limits.retry_after_allowed && !request.is_retry;
         let deferral =
             if is_deferrable { self.deferrals.defer(request.account, &terms, self.now) } else { None };
-        self.reject(id, deferral.unwrap_or(NO_RETRY_AFTER), actions);
+        self.reject(id, deferral, actions);
     }
 
     fn deferral_terms(&self, request: &NewRequest) -> Option<DeferralTerms> {
@@ -175,7 +185,7 @@
         let terms = if plan.quota_units_per_second > 0.0 {
             DeferralTerms::for_unit_quota(plan, request.units, &local_use)
         } else {
-            DeferralTerms::for_concurrency_quota(plan, self.balancer.expected_latency(), &local_use)
+            DeferralTerms::for_concurrency_quota(plan, self.balancer.fleet_mean_latency(), &local_use)
         };
         Some(terms.within(self.settings.limits.max_retry_after))
     }
@@ -210,8 +220,8 @@
     plan.over_quota_weight > plan.over_quota_cost && plan.ceiling_units_per_second <= 0.0
 }
 
-/// How full the fleet is: the expected latency over the one at which the most valuable requests are shed, 1
-/// at most.
+/// How full the fleet is: the expected response time over the one at which the most valuable requests are
+/// shed, 1 at most.
 fn fleet_load(load_shedder: &LoadShedder, settings: &Settings, balancer: &Balancer, now: Micros) -> f64 {
     let shedding_latency = (shortest_latency_objective(settings) * GREATEST_SHED_THRESHOLD).max(1.0);
     (load_shedder.expected_response_time(settings, balancer, now) / shedding_latency).min(1.0)
--- a/src/decision/attempts/completion.rs
+++ b/src/decision/attempts/completion.rs
@@ -1,4 +1,4 @@
-//! The end of an attempt: what is recorded, and whether the request is done, sent again or given up.
+//! The end of an attempt: what is recorded, and whether the request is done, sent again, rejected or failed.
 
 use super::pending_request::Attempt;
 use crate::decision::balancer::{AttemptResult, Selection};
@@ -6,13 +6,13 @@
 
 impl DecisionEngine {
     /// Takes in the end of an attempt, in this order: the request takes note of it, then its account, then
-    /// the balancer and the load shedder; then the request is closed, sent again or given up.
+    /// the balancer and the load shedder; then the request is finished, sent again, rejected or failed.
     ///
     /// An event about an attempt that is not in flight is ignored.
     pub(in crate::decision) fn on_attempt_ended(&mut self, end: &EndedAttempt, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.get_mut(&end.request) else { return };
         let Some(attempt) = pending.end_attempt(end) else { return };
-        let is_answered = pending.answered;
+        let needs_no_response = pending.needs_no_response;
         let result = attempt_result(&attempt, end, pending.request.class, pending.request.plan);
         self.quota.attempt_ended(pending.request.account);
         // The balancer keeps an endpoint as long as an attempt at it is in flight.
@@ -20,17 +20,18 @@
         if let Some(response_time) = recorded.typical_response_time {
             self.load_shedder.record_response_time(self.now, response_time);
         }
-        if is_answered {
-            return self.close(&end.request);
+        if needs_no_response {
+            return self.finish_request(&end.request);
         }
         match self.select_for_retry(end, attempt.endpoint) {
             Some(selection) => self.start_attempt(&end.request, selection, actions),
-            None => self.give_up(&end.request, actions),
+            None => self.reject_or_fail(&end.request, actions),
         }
     }
 
     /// Selects an endpoint for another attempt, if there may be one: not that of the failed attempt, unless
-    /// there is no other. An attempt that was not sent is not repeated.
+    /// there is no other. An attempt that was not sent is not repeated: the node itself
+    /// could not or must not send it.
     fn select_for_retry(&mut self, end: &EndedAttempt, failed: EndpointId) -> Option<Selection> {
         let pending = self.pending.get(&end.request)?;
         if end.outcome == Outcome::NotSent || !self.retry_policy().allows_retry(pending) {
--- a/src/decision/attempts/final_response.rs
+++ b/src/decision/attempts/final_response.rs
@@ -5,58 +5,73 @@
     Action, DecisionEngine, DeduplicationScope, Idempotency, Micros, RequestClass, RequestId,
 };
 
-/// A rejection without a time to come back.
-pub(in crate::decision) const NO_RETRY_AFTER: Micros = 0;
+/// What [`Action::Reject`] carries for a rejection without a time to come back.
+const NO_RETRY_AFTER: Micros = 0;
 
 impl DecisionEngine {
-    /// Gives a request up that cannot be served: rejects it where a retry of the client is harmless, else
-    /// fails it.
-    pub(in crate::decision) fn give_up(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
+    /// Ends a request that cannot be served: rejects it where a retry by the client is harmless, else fails
+    /// it.
+    pub(in crate::decision) fn reject_or_fail(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.get(id) else { return };
         let class = &self.settings.classes[pending.request.class];
         if is_client_retry_harmless(pending, class) {
-            self.reject(id, NO_RETRY_AFTER, actions);
+            self.reject(id, None, actions);
         } else {
             self.fail(id, actions);
         }
     }
 
-    /// Rejects a request. `retry_after` is when the client should come back, from now.
+    /// Rejects a request. `retry_after` is when the client should come back, from now, if it gets such
+    /// advice.
     pub(in crate::decision) fn reject(
         &mut self,
         id: &RequestId,
-        retry_after: Micros,
+        retry_after: Option<Micros>,
         actions: &mut Vec<Action>,
     ) {
+        let retry_after = retry_after.unwrap_or(NO_RETRY_AFTER);
         actions.push(Action::Reject { request: id.clone(), retry_after });
-        self.close(id);
+        self.finish_request(id);
     }
 
     /// Fails a request that may have run.
     fn fail(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         actions.push(Action::Fail { request: id.clone() });
-        self.close(id);
+        self.finish_request(id);
     }
 
-    /// Takes a request as answered, by this node or since nobody waits for it. It stays pending until its
-    /// attempt has ended. A request that never ran returns its units and its place among those that wait.
-    pub(in crate::decision) fn close(&mut self, id: &RequestId) {
+    /// Finishes a request that needs no response any more: it has its final one, or nobody waits for it. It
+    /// stays pending until its attempt has ended.
+    pub(in crate::decision) fn finish_request(&mut self, id: &RequestId) {
         let Some(pending) = self.pending.get_mut(id) else { return };
-        pending.answered = true;
+        pending.needs_no_response = true;
         let is_in_flight = pending.in_flight.is_some();
-        let account = pending.request.account;
-        if pending.attempts == 0 && self.quota.contains(account) {
-            self.quota.return_unused(account, id, pending.drawn_units);
-            self.pending.stop_waiting_for_endpoint(id);
+        if pending.attempts == 0 {
+            self.return_unused(id);
         }
         if !is_in_flight {
             self.pending.remove(id);
         }
     }
+
+    /// Returns the units of a request that never ran, and its places among those that wait, if its account
+    /// is kept.
+    fn return_unused(&mut self, id: &RequestId) {
+        let Some(pending) = self.pending.get(id) else { return };
+        let account = pending.request.account;
+        if self.quota.contains(account) {
+            self.quota.return_unused(account, id, pending.drawn_units);
+            self.pending.stop_waiting_for_endpoint(id);
+        }
+    }
 }
 
 /// Whether the request can't take effect twice if the client sends it again: it never ran, it is safe, or all
 /// endpoints drop its repeats.
+///
+/// `RetryPolicy::is_safe_to_repeat` has the rule for the node's own retries. It differs for keyed requests:
+/// the node sends its retry within the deduplication scope and knows when, so the window counts there. A
+/// client's retry may reach any endpoint, so the scope counts here.
 fn is_client_retry_harmless(pending: &PendingRequest, class: &RequestClass) -> bool {
     if pending.first_possible_run.is_none() {
         return true;
--- a/src/decision/attempts/mod.rs
+++ b/src/decision/attempts/mod.rs
@@ -10,7 +10,6 @@
 use super::balancer::{Selection, SelectionRequest};
 use super::{Action, DecisionEngine, EndpointId, RequestId};
 
-pub(super) use final_response::NO_RETRY_AFTER;
 pub(super) use pending_request::{Attempt, PendingRequest, PendingRequests};
 pub(super) use retry_policy::RetryBudget;
 use retry_policy::RetryPolicy;
@@ -70,7 +69,7 @@
         RetryPolicy {
             settings: &self.settings,
             budget: &self.retry_budget,
-            mean_latency: self.balancer.expected_latency(),
+            fleet_mean_latency: self.balancer.fleet_mean_latency(),
             now: self.now,
         }
     }
--- a/src/decision/attempts/pending_request.rs
+++ b/src/decision/attempts/pending_request.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::decision::balancer::Placement;
-use crate::decision::{EndedAttempt, EndpointId, Micros, NewRequest, Outcome, RequestId};
+use crate::decision::{EndedAttempt, EndpointId, Micros, NewRequest, RequestId};
 
 /// An attempt of a request.
 #[derive(Clone, Copy)]
@@ -29,7 +29,7 @@
     /// The first attempt that may have run.
     pub first_possible_run: Option<Attempt>,
     /// The request has its final response, or nobody waits for it.
-    pub answered: bool,
+    pub needs_no_response: bool,
     /// A part of the response was sent to the client.
     pub response_started: bool,
 }
@@ -44,7 +44,7 @@
             attempts: 0,
             in_flight: None,
             first_possible_run: None,
-            answered: false,
+            needs_no_response: false,
             response_started: false,
         }
     }
@@ -54,19 +54,14 @@
     pub fn end_attempt(&mut self, end: &EndedAttempt) -> Option<Attempt> {
         let is_latest = self.attempts.checked_sub(1) == Some(end.attempt_number);
         let attempt = self.in_flight.take_if(|_| is_latest)?;
-        if may_have_run(end.outcome) {
+        if end.outcome.may_have_run() {
             self.first_possible_run.get_or_insert(attempt);
         }
-        self.answered |= end.request_completed;
+        self.needs_no_response |= end.request_completed;
         Some(attempt)
     }
 }
 
-/// Whether an attempt that ended like this may have run.
-fn may_have_run(outcome: Outcome) -> bool {
-    !matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
-}
-
 /// All pending requests of the node.
 #[derive(Default)]
 pub(in crate::decision) struct PendingRequests {
--- a/src/decision/attempts/retry_policy.rs
+++ b/src/decision/attempts/retry_policy.rs
@@ -7,8 +7,8 @@
 //!   have;
 //! - non-idempotent (`POST` without a key): only if no attempt of it may have run.
 //!
-//! An attempt certainly never ran if it was rejected, could not connect or was not sent. In any case there
-//! has to be an attempt left, time for a response, and a retry in the budget.
+//! `Outcome::may_have_run` says which attempts may have run. In any case there has to be an attempt left,
+//! time for a response, and a retry in the budget.
 
 use super::pending_request::PendingRequest;
 use crate::decision::{Idempotency, Micros, RequestClass, Settings};
@@ -51,7 +51,7 @@
     pub settings: &'a Settings,
     pub budget: &'a RetryBudget,
     /// Mean latency of the fleet, in microseconds.
-    pub mean_latency: f64,
+    pub fleet_mean_latency: f64,
     pub now: Micros,
 }
 
@@ -60,7 +60,7 @@
     pub fn allows_retry(&self, pending: &PendingRequest) -> bool {
         let class = &self.settings.classes[pending.request.class];
         let has_attempts_left = pending.attempts < self.settings.limits.max_attempts;
-        let awaits_response = !pending.answered && !pending.response_started;
+        let awaits_response = !pending.needs_no_response && !pending.response_started;
         has_attempts_left
             && awaits_response
             && self.can_finish_in_time(pending)
@@ -70,10 +70,11 @@
 
     /// Whether a response may still come before the client stops waiting.
     fn can_finish_in_time(&self, pending: &PendingRequest) -> bool {
-        self.now + self.mean_latency as Micros / 2 < pending.request.deadline
+        self.now + self.fleet_mean_latency as Micros / 2 < pending.request.deadline
     }
 
-    /// Whether the request can't take effect twice if it is sent again.
+    /// Whether the request can't take effect twice if this node sends it again. `is_client_retry_harmless`
+    /// has the rule for retries by clients, and says why they differ.
     fn is_safe_to_repeat(&self, pending: &PendingRequest, class: &RequestClass) -> bool {
         let Some(possible_run) = pending.first_possible_run.or(pending.in_flight) else {
             return true;
--- a/src/decision/balancer/cost.rs
+++ b/src/decision/balancer/cost.rs
@@ -54,7 +54,7 @@
     settings: &'a Settings,
     now: Micros,
     /// Mean response time of the fleet in microseconds.
-    fleet_latency: f64,
+    fleet_mean_latency: f64,
     /// Weight of chance beside the node's own load counts, 0 to 1. A node with next to nothing in flight
     /// would otherwise always take the largest endpoint.
     exploration: f64,
@@ -69,7 +69,7 @@
         now: Micros,
         request: &SelectionRequest,
         endpoints: &EndpointTable,
-        fleet_latency: f64,
+        fleet_mean_latency: f64,
         fleet_failures: &FailureShares,
     ) -> Self {
         let in_flight = endpoints.in_flight() as f64;
@@ -77,7 +77,7 @@
         let exploration = 1.0 / (1.0 + EXPLORATION_DECAY * in_flight / active_count);
         let fleet_failures = FleetFailures::of(request, fleet_failures, now);
         let fleet_failures = (!fleet_failures.are_negligible()).then_some(fleet_failures);
-        CostModel { settings, now, fleet_latency, exploration, fleet_failures }
+        CostModel { settings, now, fleet_mean_latency, exploration, fleet_failures }
     }
 
     /// The cost of an attempt at this endpoint: its expected wait, relative to its capacity, times factors
@@ -91,7 +91,7 @@
 
     /// The endpoint's response time relative to that of the fleet.
     fn slowness(&self, endpoint: &Endpoint) -> f64 {
-        (endpoint.latency / self.fleet_latency).clamp(MIN_SLOWNESS, MAX_SLOWNESS)
+        (endpoint.latency / self.fleet_mean_latency).clamp(MIN_SLOWNESS, MAX_SLOWNESS)
     }
 
     /// Attempts at the endpoint, this one among them. Where the node's own count says little, a random number
--- a/src/decision/balancer/endpoint_table.rs
+++ b/src/decision/balancer/endpoint_table.rs
@@ -147,13 +147,13 @@
 
     /// Applies list entries in one pass in the order of ids; a later entry for an id replaces an earlier one.
     /// After a `snapshot`, endpoints that it lacks are removed. A new endpoint starts with the fleet's mean
-    /// response time `fleet_latency`, in microseconds.
+    /// response time `fleet_mean_latency`, in microseconds.
     pub(super) fn apply(
         &mut self,
         mut listed: Vec<ListedEndpoint>,
         snapshot: bool,
         now: Micros,
-        fleet_latency: f64,
+        fleet_mean_latency: f64,
     ) {
         // The sort is stable: entries for the same id keep their order.
         listed.sort_by_key(|endpoint| endpoint.entry.id);
@@ -171,7 +171,7 @@
             let (unchanged_and_this, later) = not_reached.split_at(reached);
             self.active.extend_from_slice(unchanged_and_this);
             not_reached = later;
-            self.apply_next(endpoint, now, fleet_latency);
+            self.apply_next(endpoint, now, fleet_mean_latency);
         }
         self.active.extend_from_slice(not_reached);
     }
@@ -191,14 +191,14 @@
     }
 
     /// Applies an entry while the ring is rebuilt and ends at its id.
-    fn apply_next(&mut self, listed: ListedEndpoint, now: Micros, fleet_latency: f64) {
+    fn apply_next(&mut self, listed: ListedEndpoint, now: Micros, fleet_mean_latency: f64) {
         let known_slot = self.take_from_index(listed.entry.id);
         let slot = known_slot.unwrap_or_else(|| self.vacant_slot());
         let id = listed.entry.id;
         if known_slot.is_some() {
-            self.apply_to_known(slot, listed, fleet_latency);
+            self.apply_to_known(slot, listed, fleet_mean_latency);
         } else {
-            self.add_new(slot, listed, now, fleet_latency);
+            self.add_new(slot, listed, now, fleet_mean_latency);
         }
         if self.slots[slot].is_active() {
             self.active.push(RingEntry { id, slot });
@@ -223,18 +223,18 @@
         })
     }
 
-    fn add_new(&mut self, slot: usize, listed: ListedEndpoint, now: Micros, fleet_latency: f64) {
+    fn add_new(&mut self, slot: usize, listed: ListedEndpoint, now: Micros, fleet_mean_latency: f64) {
         let entry = with_valid_weight(listed.entry);
         self.entries_changed += 1;
         self.insert_into_groups(&entry);
-        self.slots[slot] = Endpoint::new(entry, listed.slow_start, fleet_latency, now);
+        self.slots[slot] = Endpoint::new(entry, listed.slow_start, fleet_mean_latency, now);
     }
 
-    fn apply_to_known(&mut self, slot: usize, listed: ListedEndpoint, fleet_latency: f64) {
+    fn apply_to_known(&mut self, slot: usize, listed: ListedEndpoint, fleet_mean_latency: f64) {
         let endpoint = &mut self.slots[slot];
         let mut entry = with_valid_weight(listed.entry);
         if entry.started_at > endpoint.entry.started_at {
-            endpoint.reset_after_restart(listed.slow_start, fleet_latency);
+            endpoint.reset_after_restart(listed.slow_start, fleet_mean_latency);
         }
         // An entry that lacks the latest start, or names an earlier one, does not make the endpoint warm.
         entry.started_at = entry.started_at.max(endpoint.entry.started_at);
--- a/src/decision/balancer/latency_estimator.rs
+++ b/src/decision/balancer/latency_estimator.rs
@@ -24,7 +24,7 @@
 
 impl LatencyEstimator {
     /// The mean response time in microseconds.
-    pub fn mean(&self) -> f64 {
+    pub fn fleet_mean_latency(&self) -> f64 {
         self.mean
     }
 
--- a/src/decision/balancer/mod.rs
+++ b/src/decision/balancer/mod.rs
@@ -115,7 +115,7 @@
             .into_iter()
             .map(|entry| ListedEndpoint { entry, slow_start: self.slow_start.new_bucket(random) })
             .collect();
-        self.endpoints.apply(listed, is_snapshot, now, self.latency_estimator.mean());
+        self.endpoints.apply(listed, is_snapshot, now, self.latency_estimator.fleet_mean_latency());
     }
 
     /// Selects the endpoint where an attempt should do best, if any may be sent it.
@@ -143,9 +143,9 @@
     }
 
     fn subset(&self, settings: &Settings, now: Micros) -> Subset {
-        let fleet_latency = self.latency_estimator.mean();
+        let fleet_mean_latency = self.latency_estimator.fleet_mean_latency();
         Subset::at(now, settings, &self.endpoints, |endpoint| {
-            warm_fraction(&settings.warm_up, endpoint, fleet_latency, now)
+            warm_fraction(&settings.warm_up, endpoint, fleet_mean_latency, now)
         })
     }
 
@@ -157,7 +157,7 @@
         subset: &'a Subset,
     ) -> Selector<'a> {
         let class = &settings.classes[request.class];
-        let fleet_latency = self.latency_estimator.mean();
+        let fleet_mean_latency = self.latency_estimator.fleet_mean_latency();
         let endpoints = &self.endpoints;
         Selector {
             settings,
@@ -165,14 +165,14 @@
             endpoints,
             subset,
             slow_start: &self.slow_start,
-            fleet_latency,
+            fleet_mean_latency,
             latency_bound: self.latency_bound(),
             cost_model: CostModel::new(
                 settings,
                 now,
                 request,
                 endpoints,
-                fleet_latency,
+                fleet_mean_latency,
                 &self.fleet_failures,
             ),
             bound_to: request
@@ -209,7 +209,7 @@
         match result.outcome {
             Outcome::Ok => {
                 self.latency_estimator.observe(result.elapsed);
-                if has_typical_latency(endpoint, self.latency_estimator.mean()) {
+                if has_typical_latency(endpoint, self.latency_estimator.fleet_mean_latency()) {
                     typical_response_time = Some(result.elapsed);
                 }
                 endpoint.record_success(result.sent_at, result.elapsed, now);
@@ -259,8 +259,8 @@
     }
 
     /// The mean response time of the fleet in microseconds.
-    pub fn expected_latency(&self) -> f64 {
-        self.latency_estimator.mean()
+    pub fn fleet_mean_latency(&self) -> f64 {
+        self.latency_estimator.fleet_mean_latency()
     }
 
     /// An attempt in flight for longer than this many microseconds is past what the fleet usually needs.
@@ -271,12 +271,12 @@
     /// The endpoints with traffic that are in order and about as fast as the others, in the order of their
     /// ids. Overload is judged by them.
     pub fn typical_endpoints(&self, now: Micros) -> impl Iterator<Item = &Endpoint> {
-        let fleet_latency = self.latency_estimator.mean();
+        let fleet_mean_latency = self.latency_estimator.fleet_mean_latency();
         let latency_bound = self.latency_bound();
         self.endpoints.with_traffic().filter(move |endpoint| {
             endpoint.is_active()
                 && endpoint.consecutive_failures == 0
-                && has_typical_latency(endpoint, fleet_latency)
+                && has_typical_latency(endpoint, fleet_mean_latency)
                 && !endpoint.is_unresponsive(latency_bound, now)
         })
     }
@@ -301,8 +301,8 @@
 }
 
 /// Whether an endpoint is about as fast as the fleet, whose mean response time is given.
-fn has_typical_latency(endpoint: &Endpoint, fleet_latency: f64) -> bool {
-    endpoint.latency < TYPICAL_LATENCY_MULTIPLE * fleet_latency
+fn has_typical_latency(endpoint: &Endpoint, fleet_mean_latency: f64) -> bool {
+    endpoint.latency < TYPICAL_LATENCY_MULTIPLE * fleet_mean_latency
 }
 
 /// Whether an attempt went without a response for longer than the fleet usually needs, at an endpoint that
--- a/src/decision/balancer/selection.rs
+++ b/src/decision/balancer/selection.rs
@@ -74,7 +74,7 @@
     pub subset: &'a Subset,
     pub slow_start: &'a SlowStart,
     /// Mean response time of the fleet and the bound past which a response is late, in microseconds.
-    pub fleet_latency: f64,
+    pub fleet_mean_latency: f64,
     pub latency_bound: f64,
     pub cost_model: CostModel<'a>,
     /// The group of endpoints that the attempt is bound to, if an earlier one may have run.
@@ -129,7 +129,7 @@
             return None;
         }
         let rules = &self.settings.warm_up;
-        let warm_fraction = slow_start::warm_fraction(rules, endpoint, self.fleet_latency, self.now);
+        let warm_fraction = slow_start::warm_fraction(rules, endpoint, self.fleet_mean_latency, self.now);
         if !self.slow_start.admits(endpoint, warm_fraction) {
             return None;
         }
--- a/src/decision/balancer/slow_start.rs
+++ b/src/decision/balancer/slow_start.rs
@@ -53,15 +53,20 @@
 }
 
 /// The share of its full capacity that an endpoint has by now at least, 0 to 1: it rises with the time since
-/// its start, faster if the endpoint responds faster than the fleet, whose mean is `fleet_latency`
+/// its start, faster if the endpoint responds faster than the fleet, whose mean is `fleet_mean_latency`
 /// microseconds.
-pub(super) fn warm_fraction(rules: &WarmUp, endpoint: &Endpoint, fleet_latency: f64, now: Micros) -> f64 {
+pub(super) fn warm_fraction(
+    rules: &WarmUp,
+    endpoint: &Endpoint,
+    fleet_mean_latency: f64,
+    now: Micros,
+) -> f64 {
     let started_at = endpoint.entry.started_at;
     if started_at == 0 || rules.duration == 0 {
         return 1.0;
     }
     let progress = now.saturating_sub(started_at) as f64 / rules.duration as f64;
     let max_eagerness = MAX_EAGERNESS.min(rules.overload_multiple / 2.0).max(1.0);
-    let eagerness = if endpoint.latency < fleet_latency { max_eagerness } else { 1.0 };
+    let eagerness = if endpoint.latency < fleet_mean_latency { max_eagerness } else { 1.0 };
     (eagerness * (rules.initial_fraction + (1.0 - rules.initial_fraction) * progress)).min(1.0)
 }
--- a/src/decision/deferral.rs
+++ b/src/decision/deferral.rs
@@ -53,11 +53,11 @@
 
     /// The terms for a request of a plan that only limits its attempts in flight: it comes back once one of
     /// this node's slots is free.
-    pub fn for_concurrency_quota(plan: &Plan, mean_latency: f64, local_use: &LocalUse) -> Self {
+    pub fn for_concurrency_quota(plan: &Plan, fleet_mean_latency: f64, local_use: &LocalUse) -> Self {
         let local_slots = (plan.max_in_flight as f64 / local_use.node_count).max(1.0);
         DeferralTerms {
-            spacing: mean_latency / local_slots,
-            horizon: mean_latency * plan.max_in_flight as f64,
+            spacing: fleet_mean_latency / local_slots,
+            horizon: fleet_mean_latency * plan.max_in_flight as f64,
         }
     }
 
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -86,10 +86,17 @@
     Reset,
     /// Cancelled by the node; it may have run.
     Cancelled,
-    /// It was never sent.
+    /// The node itself could not or must not send it; it did not run.
     NotSent,
 }
 
+impl Outcome {
+    /// Whether an attempt that ended like this may have run at its endpoint.
+    pub fn may_have_run(self) -> bool {
+        !matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
+    }
+}
+
 /// The end of an attempt.
 #[derive(Debug, Clone)]
 pub struct EndedAttempt {
@@ -165,6 +172,6 @@
         /// The timer's number.
         id: u64,
     },
-    /// Graceful shutdown started: the node takes no more requests.
+    /// Graceful shutdown started: the listener is closed; requests on open connections may still arrive.
     ShutdownStarted,
 }
--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -72,9 +72,9 @@
         // the longest would take all capacity.
         let limit = (shortest_latency_objective(settings) * threshold).max(1.0);
         let expected = self.expected_response_time(settings, balancer, now);
-        let overload = expected * self.confidence(now) / limit;
+        let overload_ratio = expected * self.confidence(now) / limit;
         // What is expected is smoothed, so without new requests it falls by a constant share each tick.
-        (overload > 1.0).then(|| (overload.ln() / IN_FLIGHT_GAIN * TICK as f64) as Micros)
+        (overload_ratio > 1.0).then(|| (overload_ratio.ln() / IN_FLIGHT_GAIN * TICK as f64) as Micros)
     }
 
     /// How far the response times can be relied on, 0 to 1. The mean of a few swings far, and each node would
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -112,7 +112,7 @@
             Event::RequestReceived(request) => self.on_request(request, actions),
             Event::ResponseStarted { request } => self.on_response_started(&request),
             Event::AttemptEnded(end) => self.on_attempt_ended(&end, actions),
-            Event::ClientDisconnected { request } => self.close(&request),
+            Event::ClientDisconnected { request } => self.finish_request(&request),
             Event::CounterReplied { key, outcome, total } => {
                 self.on_counter_reply(key, CounterReply::classify(outcome, total), actions);
             }
@@ -180,8 +180,8 @@
         }
     }
 
-    /// Releases all leases. From here on units that serve nobody are released as they are granted, since no
-    /// request will use them up.
+    /// Releases all leases. The listener is closed; requests on open connections may still arrive. From
+    /// here on units that no waiting request needs are released as they are granted.
     fn on_shutdown_started(&mut self, actions: &mut Vec<Action>) {
         self.shutdown_started = true;
         self.release_all_leases(actions);
@@ -192,8 +192,8 @@
     }
 
     /// Housekeeping, in this order: the load is sampled, requests without an endpoint are tried again,
-    /// stuck attempts are cancelled, silent endpoints are ejected. The sweep of leases and memory follows
-    /// less often.
+    /// stuck attempts are cancelled, unresponsive endpoints are ejected. The sweep of leases and memory
+    /// follows less often.
     fn on_tick(&mut self, actions: &mut Vec<Action>) {
         actions.push(Action::SetTimer { id: 0, after: TICK });
         self.load_shedder.on_tick(&self.balancer, self.now);
@@ -214,8 +214,8 @@
         self.quota.drop_expired_calls(self.now);
     }
 
-    /// Tries again to find endpoints for the requests that wait for one, and gives up those that waited too
-    /// long: a late rejection costs its client the time to go elsewhere.
+    /// Tries again to find endpoints for the requests that wait for one, and rejects or fails those that
+    /// waited too long: a late rejection costs its client the time to go elsewhere.
     fn dispatch_waiting_requests(&mut self, actions: &mut Vec<Action>) {
         for id in self.pending.take_waiting_for_endpoint() {
             let Some(pending) = self.pending.get(&id) else { continue };
@@ -223,7 +223,7 @@
             let timeout = pending.request.deadline.saturating_sub(pending.arrived_at);
             let longest_wait = objective.min(timeout / 2);
             if self.now + 2 * TICK >= pending.arrived_at + longest_wait {
-                self.give_up(&id, actions);
+                self.reject_or_fail(&id, actions);
             } else {
                 self.dispatch(&id, actions);
             }
--- a/src/decision/quota/mod.rs
+++ b/src/decision/quota/mod.rs
@@ -94,12 +94,12 @@
     pub fn is_concurrency_exhausted(
         &self,
         request: &QuotaRequest<'_>,
-        mean_latency: f64,
+        fleet_mean_latency: f64,
         now: Micros,
     ) -> bool {
         self.accounts
             .get(&request.account)
-            .is_some_and(|account| account.is_concurrency_exhausted(request.plan, mean_latency, now))
+            .is_some_and(|account| account.is_concurrency_exhausted(request.plan, fleet_mean_latency, now))
     }
 
     /// Draws a request's units. The first rule that applies decides:
