--- a/src/decision/attempts/completion.rs
+++ b/src/decision/attempts/completion.rs
@@ -1,7 +1,7 @@
 //! The end of an attempt: what is recorded, and whether the request is done, sent again, rejected or failed.
 
 use super::pending_request::Attempt;
-use crate::decision::balancer::{AttemptResult, Selection};
+use crate::decision::balancer::{EndedAttemptSample, Selection};
 use crate::decision::{Action, DecisionEngine, EndedAttempt, EndpointId, Outcome};
 
 impl DecisionEngine {
@@ -13,10 +13,10 @@
         let Some(pending) = self.pending.get_mut(&end.request) else { return };
         let Some(attempt) = pending.end_attempt(end) else { return };
         let needs_no_response = pending.needs_no_response;
-        let result = attempt_result(&attempt, end, pending.request.class, pending.request.plan);
+        let sample = ended_attempt_sample(&attempt, end, pending.request.class, pending.request.plan);
         self.quota.attempt_ended(pending.request.account);
         // The balancer keeps an endpoint as long as an attempt at it is in flight.
-        let Some(recorded) = self.balancer.attempt_ended(self.now, &result) else { return };
+        let Some(recorded) = self.balancer.attempt_ended(self.now, &sample) else { return };
         if let Some(response_time) = recorded.typical_response_time {
             self.load_shedder.record_response_time(self.now, response_time);
         }
@@ -41,8 +41,13 @@
     }
 }
 
-fn attempt_result(attempt: &Attempt, end: &EndedAttempt, class: usize, plan: usize) -> AttemptResult {
-    AttemptResult {
+fn ended_attempt_sample(
+    attempt: &Attempt,
+    end: &EndedAttempt,
+    class: usize,
+    plan: usize,
+) -> EndedAttemptSample {
+    EndedAttemptSample {
         endpoint: attempt.endpoint,
         class,
         plan,
--- a/src/decision/balancer/endpoint.rs
+++ b/src/decision/balancer/endpoint.rs
@@ -30,12 +30,12 @@
     /// When the latest attempt that succeeded was sent.
     pub last_success_sent_at: Micros,
     /// Ejections since its last success or start.
-    pub consecutive_failures: u32,
+    pub consecutive_ejections: u32,
     /// Connections to it that were reset under a request, since its last response or start.
     pub connection_resets: u32,
     /// It is ejected until then.
     pub ejected_until: Micros,
-    /// What it may be sent while it warms up, on the clock of `SlowStart`.
+    /// What it may be sent while it warms up, on the count of `SlowStart`.
     pub slow_start: TokenBucket,
 }
 
@@ -47,7 +47,7 @@
 
     /// Forgets what a restart makes void. What is in flight and the shares of failures stay.
     pub fn reset_after_restart(&mut self, slow_start: TokenBucket, latency: f64) {
-        self.consecutive_failures = 0;
+        self.consecutive_ejections = 0;
         self.connection_resets = 0;
         self.ejected_until = 0;
         self.slow_start = slow_start;
@@ -75,7 +75,7 @@
         self.record_completion(now);
         self.last_success_sent_at = self.last_success_sent_at.max(sent_at);
         self.last_response_at = now;
-        self.consecutive_failures = 0;
+        self.consecutive_ejections = 0;
         self.ejected_until = self.ejected_until.min(now);
     }
 
--- a/src/decision/balancer/failure_shares.rs
+++ b/src/decision/balancer/failure_shares.rs
@@ -16,7 +16,7 @@
     Class(usize),
     /// An error response or a rejection of a request of this plan.
     Plan(usize),
-    /// No response in time, whatever the class and plan. A response resets the consecutive failures, and a
+    /// No response in time, whatever the class and plan. A success resets the consecutive ejections, and a
     /// node that meets an endpoint seldom would otherwise learn of each lost request anew.
     Unanswered,
 }
--- a/src/decision/balancer/mod.rs
+++ b/src/decision/balancer/mod.rs
@@ -61,8 +61,8 @@
     pub warm_fraction: f64,
 }
 
-/// An attempt that ended at an endpoint.
-pub(super) struct AttemptResult {
+/// An ended attempt as a sample of the health and speed of its endpoint.
+pub(super) struct EndedAttemptSample {
     pub endpoint: EndpointId,
     /// Index of the request's class in the settings.
     pub class: usize,
@@ -121,8 +121,9 @@
     /// Selects the endpoint where an attempt should do best, if any may be sent it.
     ///
     /// The endpoints of the node's subset are examined; of a short list all of it. An endpoint is passed over
-    /// when deduplication binds the request to others, when it is warming up and not due a request, or when
-    /// it is recovering and this is not the request to try it with. Of the others the best is selected by
+    /// when deduplication binds the request to others, or when it is warming up and not due a request. A
+    /// recovering endpoint takes one request of a safe class at a time; others pass it over, since a failed
+    /// test request of another class could not be sent again. Of the others the best is selected by
     /// availability, membership in the subset, warm-up and cost, in this order. If none is available,
     /// endpoints beyond the subset are examined as well.
     pub fn select(
@@ -196,23 +197,23 @@
     }
 
     /// Records how an attempt ended. None if the endpoint or the attempt is not known any more.
-    pub fn attempt_ended(&mut self, now: Micros, result: &AttemptResult) -> Option<RecordedAttempt> {
+    pub fn attempt_ended(&mut self, now: Micros, ended: &EndedAttemptSample) -> Option<RecordedAttempt> {
         let latency_bound = self.latency_bound();
-        let endpoint = self.endpoints.attempt_ended(result.endpoint, result.sent_at)?;
-        let unanswered = is_unanswered(endpoint, result, latency_bound);
-        for sample in failure_samples(result.class, result.plan, result.outcome, unanswered) {
+        let endpoint = self.endpoints.attempt_ended(ended.endpoint, ended.sent_at)?;
+        let unanswered = is_unanswered(endpoint, ended, latency_bound);
+        for sample in failure_samples(ended.class, ended.plan, ended.outcome, unanswered) {
             endpoint.failures.record(&sample, now);
             self.fleet_failures.record(&sample, now);
         }
-        let must_eject = self.outlier_detector.must_eject(endpoint, result, now);
+        let must_eject = self.outlier_detector.must_eject(endpoint, ended, now);
         let mut typical_response_time = None;
-        match result.outcome {
+        match ended.outcome {
             Outcome::Ok => {
-                self.latency_estimator.observe(result.elapsed);
+                self.latency_estimator.observe(ended.elapsed);
                 if has_typical_latency(endpoint, self.latency_estimator.fleet_mean_latency()) {
-                    typical_response_time = Some(result.elapsed);
+                    typical_response_time = Some(ended.elapsed);
                 }
-                endpoint.record_success(result.sent_at, result.elapsed, now);
+                endpoint.record_success(ended.sent_at, ended.elapsed, now);
             }
             // An endpoint that fails fast seems idle and quick. Its response shows that it is alive, and no
             // more.
@@ -268,14 +269,14 @@
         self.latency_estimator.upper_bound()
     }
 
-    /// The endpoints with traffic that are in order and about as fast as the others, in the order of their
+    /// The endpoints with traffic that are healthy and about as fast as the others, in the order of their
     /// ids. Overload is judged by them.
     pub fn typical_endpoints(&self, now: Micros) -> impl Iterator<Item = &Endpoint> {
         let fleet_mean_latency = self.latency_estimator.fleet_mean_latency();
         let latency_bound = self.latency_bound();
         self.endpoints.with_traffic().filter(move |endpoint| {
             endpoint.is_active()
-                && endpoint.consecutive_failures == 0
+                && endpoint.consecutive_ejections == 0
                 && has_typical_latency(endpoint, fleet_mean_latency)
                 && !endpoint.is_unresponsive(latency_bound, now)
         })
@@ -307,8 +308,8 @@
 
 /// Whether an attempt went without a response for longer than the fleet usually needs, at an endpoint that
 /// has sent no response since.
-fn is_unanswered(endpoint: &Endpoint, result: &AttemptResult, latency_bound: f64) -> bool {
-    matches!(result.outcome, Outcome::TimedOut | Outcome::Cancelled)
-        && no_response_since(endpoint, result.sent_at)
-        && result.elapsed as f64 > latency_bound
+fn is_unanswered(endpoint: &Endpoint, ended: &EndedAttemptSample, latency_bound: f64) -> bool {
+    matches!(ended.outcome, Outcome::TimedOut | Outcome::Cancelled)
+        && no_response_since(endpoint, ended.sent_at)
+        && ended.elapsed as f64 > latency_bound
 }
--- a/src/decision/balancer/outlier_detection.rs
+++ b/src/decision/balancer/outlier_detection.rs
@@ -2,7 +2,7 @@
 
 use super::endpoint::Endpoint;
 use super::failure_shares::FAILURE_TIME_CONSTANT;
-use super::AttemptResult;
+use super::EndedAttemptSample;
 use crate::decision::estimators::DecayingMean;
 use crate::decision::{Micros, Outcome};
 
@@ -14,13 +14,13 @@
 const MAX_RESET_PROBABILITY: f64 = 0.01;
 /// ... and so many always do.
 const MAX_CONNECTION_RESETS: u32 = 3;
-/// With up to so many attempts in flight, an endpoint may be silent for twice the latency bound.
+/// With up to so many attempts in flight, an endpoint may send no response for twice the latency bound.
 const FEW_IN_FLIGHT: usize = 2;
 
 /// Whether an endpoint may be sent attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Health {
-    /// It is in order as far as is known.
+    /// It is healthy as far as is known.
     Healthy,
     /// Its ejection is over, and it has not succeeded since: a single attempt shows whether it has recovered.
     Recovering,
@@ -28,7 +28,7 @@
     Unavailable,
 }
 
-/// Judges endpoints by connections that are reset or not established, and by silence.
+/// Judges endpoints by connections that are reset or not established, and by missing responses.
 #[derive(Default)]
 pub(super) struct OutlierDetector {
     /// The share of responses and resets over the fleet that are resets.
@@ -38,14 +38,14 @@
 impl OutlierDetector {
     /// Takes in how an attempt ended and returns whether the endpoint is to be ejected for it. To be called
     /// before the response itself is recorded.
-    pub fn must_eject(&mut self, endpoint: &mut Endpoint, result: &AttemptResult, now: Micros) -> bool {
-        let resets_are_unusual = self.record_connection(endpoint, result.outcome, now);
-        match result.outcome {
+    pub fn must_eject(&mut self, endpoint: &mut Endpoint, ended: &EndedAttemptSample, now: Micros) -> bool {
+        let resets_are_unusual = self.record_connection(endpoint, ended.outcome, now);
+        match ended.outcome {
             Outcome::ConnectFailed => true,
             Outcome::Reset => resets_are_unusual,
             Outcome::TimedOut | Outcome::Cancelled => {
-                let sent_since_ejection = result.sent_at >= endpoint.ejected_until;
-                sent_since_ejection && no_response_since(endpoint, result.sent_at)
+                let sent_since_ejection = ended.sent_at >= endpoint.ejected_until;
+                sent_since_ejection && no_response_since(endpoint, ended.sent_at)
             }
             Outcome::Ok | Outcome::Error | Outcome::Rejected | Outcome::NotSent => false,
         }
@@ -92,25 +92,25 @@
         if self.is_ejected(now) {
             return;
         }
-        let doublings = self.consecutive_failures.min(8);
+        let doublings = self.consecutive_ejections.min(8);
         self.ejected_until = now + (FIRST_EJECTION << doublings).min(LONGEST_EJECTION);
-        self.consecutive_failures += 1;
+        self.consecutive_ejections += 1;
     }
 
-    /// Whether it is silent though requests wait: since its last response, the oldest attempt in flight has
-    /// waited for longer than `latency_bound` microseconds, or twice that where few are in flight.
+    /// Whether it is unresponsive though requests wait: since its last response, the oldest attempt in flight
+    /// has waited for longer than `latency_bound` microseconds, or twice that where few are in flight.
     pub fn is_unresponsive(&self, latency_bound: f64, now: Micros) -> bool {
         let Some(oldest_sent_at) = self.in_flight_since_ejection().next() else { return false };
-        let silence = now.saturating_sub(oldest_sent_at.max(self.last_response_at)) as f64;
+        let unresponsive_for = now.saturating_sub(oldest_sent_at.max(self.last_response_at)) as f64;
         let factor = if self.in_flight.len() > FEW_IN_FLIGHT { 1.0 } else { 2.0 };
-        silence > latency_bound * factor
+        unresponsive_for > latency_bound * factor
     }
 
     /// Whether it may be sent attempts.
     pub(super) fn health(&self, latency_bound: f64, now: Micros) -> Health {
         if self.is_ejected(now) || self.is_unresponsive(latency_bound, now) {
             Health::Unavailable
-        } else if self.consecutive_failures > 0 {
+        } else if self.consecutive_ejections > 0 {
             Health::Recovering
         } else {
             Health::Healthy
--- a/src/decision/balancer/selection.rs
+++ b/src/decision/balancer/selection.rs
@@ -26,7 +26,7 @@
 
 /// Whether slow start gives an endpoint precedence. The lesser is preferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Turn {
+enum Precedence {
     /// It is warming up and due a request: by cost it would always lose to the best of the warm ones, which
     /// would be overloaded.
     WarmingUpAndDue,
@@ -38,7 +38,7 @@
 struct Preference {
     availability: Availability,
     location: Location,
-    turn: Turn,
+    precedence: Precedence,
     cost: f64,
 }
 
@@ -141,7 +141,7 @@
         let preference = Preference {
             availability: availability(health),
             location,
-            turn: turn(endpoint, location, warm_fraction),
+            precedence: precedence(endpoint, location, warm_fraction),
             cost: self.cost_model.cost(endpoint, warm_fraction, random),
         };
         Some(Candidate { endpoint: endpoint.entry.id, warm_fraction, preference })
@@ -159,6 +159,8 @@
         self.may_test_recovery && !endpoint.has_recovery_attempt_in_flight()
     }
 
+    /// An ejected endpoint in the subset counts as elsewhere: the next ones on the ring stand in for it, and
+    /// it is to be no better than other unavailable endpoints beyond the subset.
     fn location(&self, endpoint: &Endpoint, position: usize) -> Location {
         if !endpoint.is_ejected(self.now) && self.subset.contains(position) {
             Location::InSubset
@@ -175,10 +177,10 @@
     }
 }
 
-fn turn(endpoint: &Endpoint, location: Location, warm_fraction: f64) -> Turn {
-    if location == Location::InSubset && warm_fraction < 1.0 && endpoint.consecutive_failures == 0 {
-        Turn::WarmingUpAndDue
+fn precedence(endpoint: &Endpoint, location: Location, warm_fraction: f64) -> Precedence {
+    if location == Location::InSubset && warm_fraction < 1.0 && endpoint.consecutive_ejections == 0 {
+        Precedence::WarmingUpAndDue
     } else {
-        Turn::Ordinary
+        Precedence::Ordinary
     }
 }
--- a/src/decision/balancer/slow_start.rs
+++ b/src/decision/balancer/slow_start.rs
@@ -1,8 +1,8 @@
 //! Slow start: an endpoint that has just started is sent its share of the load as it warms up.
 //!
-//! Too many requests push a cold endpoint over. A node gives a warming endpoint no more than the warm
-//! fraction of what an endpoint that is warm was due meanwhile, so that the sum over all nodes stays at the
-//! warm fraction too.
+//! Too many requests overload an endpoint that is warming up. A node gives such an endpoint no more than the
+//! warm fraction of what an endpoint that is warm was due meanwhile, so that the sum over all nodes stays at
+//! the warm fraction too.
 
 use super::endpoint::Endpoint;
 use crate::decision::estimators::{RandomSource, TokenBucket, MICROS_PER_SECOND};
@@ -11,14 +11,16 @@
 /// An endpoint that is no slower than the fleet gets up to this much of its guaranteed share; at most half
 /// the overload multiple.
 const MAX_EAGERNESS: f64 = 1.5;
-/// Most requests that a warming endpoint saves up.
+/// Most requests that an endpoint that is warming up saves up.
 const MAX_SAVED_REQUESTS: f64 = 1.5;
 
-/// The clock on which warming endpoints are given requests: it advances by one second for each request that a
-/// warm endpoint of the subset was due, so that token buckets on it refill by requests instead of by time.
+/// Counts the requests that a warm endpoint of the subset was due. The buckets of endpoints that are warming
+/// up take this count in place of a time, so that they refill by requests: what is a second to a bucket
+/// elsewhere is one request here.
 #[derive(Default)]
 pub(super) struct SlowStart {
-    virtual_time: Micros,
+    /// What a warm endpoint was due since the start, in millionths of a request.
+    due_micro_requests: u64,
     /// Sum of the warm fractions of the subset.
     subset_capacity: f64,
 }
@@ -31,23 +33,24 @@
 
     /// One more request was passed on: a warm endpoint was due its part of it.
     pub fn request_launched(&mut self) {
-        self.virtual_time += (MICROS_PER_SECOND / self.subset_capacity.max(1.0)) as Micros;
+        self.due_micro_requests += (MICROS_PER_SECOND / self.subset_capacity.max(1.0)) as Micros;
     }
 
-    /// The bucket of an endpoint that starts now. It holds a random part of a request: a full one at each of
-    /// a hundred nodes would push a cold endpoint over at once.
+    /// The bucket of an endpoint that starts now. It holds a random part of a request: a full one at each
+    /// node would at once overload an endpoint that is warming up.
     pub fn new_bucket(&self, random: &mut RandomSource) -> TokenBucket {
-        TokenBucket::new(random.uniform(), self.virtual_time)
+        TokenBucket::new(random.uniform(), self.due_micro_requests)
     }
 
     /// Whether an endpoint may be sent a request now, as far as it is still warming up.
     pub fn admits(&self, endpoint: &Endpoint, warm_fraction: f64) -> bool {
-        warm_fraction >= 1.0 || endpoint.slow_start.uncapped_tokens(self.virtual_time, warm_fraction) >= 1.0
+        warm_fraction >= 1.0
+            || endpoint.slow_start.uncapped_tokens(self.due_micro_requests, warm_fraction) >= 1.0
     }
 
     /// Charges an endpoint for a request.
     pub fn charge(&self, endpoint: &mut Endpoint, warm_fraction: f64) {
-        endpoint.slow_start.refill(self.virtual_time, warm_fraction, MAX_SAVED_REQUESTS);
+        endpoint.slow_start.refill(self.due_micro_requests, warm_fraction, MAX_SAVED_REQUESTS);
         endpoint.slow_start.take(1.0);
     }
 }
--- a/src/decision/balancer/subset.rs
+++ b/src/decision/balancer/subset.rs
@@ -18,8 +18,8 @@
 /// Endpoints that a node uses at least: enough that some are left when a third is lost.
 const MIN_SUBSET_SIZE: usize = 12;
 /// A list of up to so many endpoints is examined in full for an attempt, which takes some microseconds. Of a
-/// longer one it is the subset and, if nobody there is available, so many of the rest: the best of so many is
-/// in the best fiftieth but once in a hundred times.
+/// longer one it is the subset and, if nobody there is available, so many of the rest. A greater number finds
+/// better endpoints at more time for each attempt.
 pub(super) const MAX_EXAMINED: usize = 256;
 
 /// The part of the ring that this node sends to at one point in time.
--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -16,13 +16,12 @@
 /// Least value that weights and factors are divided by.
 const MIN_WEIGHT: f64 = 1e-9;
 /// A request is shed when its expected response time is past this share of the latency objective: for
-/// requests of the least weight and for those of the greatest. Work times vary about as much as their mean,
-/// hence well under 1. Attempts that got lost are left out of those in flight, hence 0.48 and not one
-/// half.
+/// requests of the least weight and for those of the greatest. A greater
+/// share admits more requests, of which more are answered late; a smaller one sheds more of them early.
 pub(super) const LEAST_SHED_THRESHOLD: f64 = 0.25;
 pub(super) const GREATEST_SHED_THRESHOLD: f64 = 0.48;
 
-/// Judges overload by attempts in flight and response times at endpoints that are in order.
+/// Judges overload by attempts in flight and response times at healthy endpoints.
 #[derive(Default)]
 pub(super) struct LoadShedder {
     /// Attempts in flight, smoothed over ticks.
@@ -87,7 +86,7 @@
     /// The response time that a new request can expect, in microseconds; 0 before any response.
     ///
     /// By Little's law it is what this node has in flight over the rate at which responses come, at endpoints
-    /// that are in order. A node that sees a few requests a second has one or none in flight, and one alone
+    /// that are healthy. A node that sees a few requests a second has one or none in flight, and one alone
     /// would look like a full fleet. So the mean of recent response times weighs as much as
     /// `RESPONSE_TIME_EVIDENCE` attempts in flight; without responses it is forgotten.
     pub fn expected_response_time(&self, settings: &Settings, balancer: &Balancer, now: Micros) -> f64 {
