--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -8,7 +8,7 @@
 use super::load_shedding::{
     shortest_latency_objective, LoadShedder, GREATEST_SHED_THRESHOLD, LEAST_SHED_THRESHOLD,
 };
-use super::quota::{QueuedRequest, QuotaDecision, QuotaRequest, QuotaTurn};
+use super::quota::{QueuedRequest, QuotaDecision, QuotaRequest, QuotaStage};
 use super::{AccountId, Action, DecisionEngine, Micros, NewRequest, Plan, RequestId, Settings, TICK};
 
 /// A class whose late responses earn at least this share of its weight is served late, too.
@@ -74,7 +74,7 @@
         let account = request.account;
         let units = request.units;
         self.pending.insert(PendingRequest::new(request, self.now));
-        match self.decide_by_quota(&id, QuotaTurn::OnArrival, actions) {
+        match self.decide_by_quota(&id, QuotaStage::OnArrival, actions) {
             QuotaDecision::Granted { drawn_units } => self.admit(&id, drawn_units, actions),
             QuotaDecision::Wait => self.quota.enqueue(account, QueuedRequest { id, units }),
             QuotaDecision::BeyondQuota => self.handle_beyond_quota(&id, actions),
@@ -84,7 +84,7 @@
     /// Decides about the requests of an account that waited for the counter, in their order.
     pub(super) fn serve_queue(&mut self, account: AccountId, actions: &mut Vec<Action>) {
         while let Some(queued) = self.quota.dequeue(account) {
-            match self.decide_by_quota(&queued.id, QuotaTurn::AfterReply, actions) {
+            match self.decide_by_quota(&queued.id, QuotaStage::AfterReply, actions) {
                 QuotaDecision::Granted { drawn_units } => self.admit(&queued.id, drawn_units, actions),
                 QuotaDecision::Wait => return self.quota.requeue(account, queued),
                 QuotaDecision::BeyondQuota => self.handle_beyond_quota(&queued.id, actions),
@@ -126,12 +126,12 @@
     fn decide_by_quota(
         &mut self,
         id: &RequestId,
-        turn: QuotaTurn,
+        stage: QuotaStage,
         actions: &mut Vec<Action>,
     ) -> QuotaDecision {
         let now = self.now;
         let Some(pending) = self.pending.get(id) else { return QuotaDecision::BeyondQuota };
-        let Some(request) = quota_request(&pending.request, turn, &self.settings) else {
+        let Some(request) = quota_request(&pending.request, stage, &self.settings) else {
             return QuotaDecision::Granted { drawn_units: 0.0 };
         };
         if self.quota.is_concurrency_exhausted(&request, self.balancer.fleet_mean_latency(), now) {
@@ -203,7 +203,7 @@
 /// The request as the quotas see it; none if its plan is not in the settings.
 fn quota_request<'a>(
     request: &NewRequest,
-    turn: QuotaTurn,
+    stage: QuotaStage,
     settings: &'a Settings,
 ) -> Option<QuotaRequest<'a>> {
     Some(QuotaRequest {
@@ -211,7 +211,7 @@
         plan: settings.plans.get(request.plan)?,
         units: request.units,
         priority_weight: settings.classes[request.class].priority_weight,
-        turn,
+        stage,
     })
 }
 
--- a/src/decision/deferral.rs
+++ b/src/decision/deferral.rs
@@ -3,6 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
+use super::estimators::MICROS_PER_SECOND;
 use super::quota::LocalUse;
 use super::{AccountId, Micros, Plan};
 
@@ -48,7 +49,10 @@
     pub fn for_unit_quota(plan: &Plan, units: f64, local_use: &LocalUse) -> Self {
         let quota_rate = plan.quota_units_per_second;
         let drawn_rate = local_use.drawn_rate.max(quota_rate / local_use.node_count);
-        DeferralTerms { spacing: units / drawn_rate * 1e6, horizon: plan.burst_units / quota_rate * 1e6 }
+        DeferralTerms {
+            spacing: units / drawn_rate * MICROS_PER_SECOND,
+            horizon: plan.burst_units / quota_rate * MICROS_PER_SECOND,
+        }
     }
 
     /// The terms for a request of a plan that only limits its attempts in flight: it comes back once one of
--- a/src/decision/quota/account.rs
+++ b/src/decision/quota/account.rs
@@ -6,7 +6,7 @@
 use super::counter_window::COUNTER_LIFETIME;
 use super::demand::Demand;
 use super::fleet_bucket::FleetBucket;
-use crate::decision::estimators::{DecayingMean, TokenBucket};
+use crate::decision::estimators::{DecayingMean, TokenBucket, MICROS_PER_SECOND};
 use crate::decision::{Micros, Plan, RequestId};
 
 /// An account is kept for at least this long after its latest request.
@@ -43,7 +43,7 @@
     pub queue: VecDeque<QueuedRequest>,
     /// Units admitted without the counter that no call has reported yet.
     pub unreported_units: f64,
-    /// This node's even share of the quota, while the counter gives no answer.
+    /// This node's even share of the quota, for requests that are decided without the counter.
     pub even_share: Option<TokenBucket>,
     pub attempts_in_flight: u32,
     pub last_request_at: Micros,
@@ -88,7 +88,7 @@
         let slots = plan.max_in_flight as f64;
         let in_flight_elsewhere = if self.bucket.is_known() {
             let requests_elsewhere = self.bucket.draw_rate_elsewhere(now) / self.demand.mean_units.max(0.1);
-            requests_elsewhere * fleet_mean_latency / 1e6
+            requests_elsewhere * fleet_mean_latency / MICROS_PER_SECOND
         } else {
             slots * (1.0 - 1.0 / self.node_count)
         };
@@ -119,7 +119,7 @@
 fn refill_time(plan: Option<&Plan>) -> Micros {
     match plan {
         Some(plan) if plan.quota_units_per_second > 0.0 => {
-            (plan.burst_units / plan.quota_units_per_second * 1e6) as Micros
+            (plan.burst_units / plan.quota_units_per_second * MICROS_PER_SECOND) as Micros
         }
         _ => 0,
     }
--- a/src/decision/quota/counter_health.rs
+++ b/src/decision/quota/counter_health.rs
@@ -34,8 +34,9 @@
         settings.counter.enabled && now >= self.paused_until
     }
 
-    /// Whether calls have failed until the pause reached its longest.
-    pub fn is_silent(&self) -> bool {
+    /// Whether the backoff has reached its longest since the latest total. Failed calls in flight together,
+    /// each of which doubles it, reach that as well as calls one after another.
+    pub fn has_failed_repeatedly(&self) -> bool {
         self.backoff >= LONGEST_BACKOFF
     }
 
@@ -71,7 +72,7 @@
         }
     }
 
-    /// A hundred nodes that ask for every request would overload the service, and then none gets a reply.
+    /// If all nodes asked for every request, they would overload the service, and then none gets a reply.
     fn adapt_ask_share(&mut self, was_prompt: bool, node_count: u32) {
         let share = if was_prompt {
             self.ask_share + ASK_SHARE_INCREASE
@@ -81,8 +82,8 @@
         self.ask_share = share.max(LEAST_ASK_SHARE_OF_FLEET / node_count as f64).clamp(ASK_SHARE_FLOOR, 1.0);
     }
 
-    /// Lets a silent or overloaded service recover. The random half of the pause keeps the nodes from coming
-    /// back in step.
+    /// Lets an unresponsive or overloaded service recover. The random half of the pause keeps the nodes
+    /// from coming back in step.
     fn pause(&mut self, now: Micros, random: &mut RandomSource) {
         let jitter = (random.uniform() * self.backoff as f64 / 2.0) as Micros;
         self.paused_until = now + self.backoff / 2 + jitter;
--- a/src/decision/quota/even_share.rs
+++ b/src/decision/quota/even_share.rs
@@ -1,4 +1,4 @@
-//! The even share: while the counter gives no answer, each node admits its part of the quota by itself.
+//! The even share: each node's part of the quota, used whenever a request is decided without the counter.
 
 use super::account::Account;
 use crate::decision::estimators::TokenBucket;
@@ -22,8 +22,8 @@
     account.lease + account.even_share.map_or(0.0, |share| share.tokens()) >= units
 }
 
-/// Admits units without the counter: off the lease, off the even share as far as it goes, and the rest on
-/// credit. The next call reports what the lease did not hold.
+/// Admits units without the counter: off the lease, off the even share as far as it goes, and the rest as
+/// unreported units. The next call reports all that the lease did not hold.
 pub(super) fn admit_unreported(account: &mut Account, units: f64, now: Micros) {
     let unleased_units = units - account.lease.max(0.0);
     account.lease = 0.0;
--- a/src/decision/quota/fleet_bucket.rs
+++ b/src/decision/quota/fleet_bucket.rs
@@ -9,7 +9,7 @@
 use super::counter_calls::CounterCall;
 use super::counter_window::CounterWindow;
 use super::demand::RATE_SPAN;
-use crate::decision::estimators::DecayingRate;
+use crate::decision::estimators::{DecayingRate, MICROS_PER_SECOND};
 use crate::decision::{Micros, Plan};
 
 /// The counter's total as it was last seen.
@@ -165,5 +165,5 @@
 
 /// The seconds from `start` to `now`; 0 if it is the later.
 fn seconds_between(start: Micros, now: Micros) -> f64 {
-    now.saturating_sub(start) as f64 / 1e6
+    now.saturating_sub(start) as f64 / MICROS_PER_SECOND
 }
--- a/src/decision/quota/known_level.rs
+++ b/src/decision/quota/known_level.rs
@@ -1,7 +1,7 @@
 //! Decisions without a call to the counter: by the call in flight, or by the total that was last seen.
 
 use super::account::Account;
-use super::request::{QuotaDecision, QuotaRequest, QuotaTurn};
+use super::request::{QuotaDecision, QuotaRequest, QuotaStage};
 use crate::decision::Micros;
 
 /// What the fleet's bucket should hold for a request, as far as this node knows.
@@ -13,9 +13,9 @@
 
 impl BucketView {
     pub fn of(account: &Account, request: &QuotaRequest<'_>, now: Micros) -> Self {
-        let queued_units = match request.turn {
-            QuotaTurn::OnArrival => account.queued_units(),
-            QuotaTurn::AfterReply => 0.0,
+        let queued_units = match request.stage {
+            QuotaStage::OnArrival => account.queued_units(),
+            QuotaStage::AfterReply => 0.0,
         };
         BucketView { level: account.projected_level(request.plan, now), queued_units }
     }
@@ -37,7 +37,7 @@
     let level_after_call = bucket.level - call.lease_units.max(0.0);
     let will_cover = lease_after_call - bucket.queued_units >= request.units
         || level_after_call - bucket.queued_units >= request.units;
-    if will_cover && request.turn == QuotaTurn::OnArrival {
+    if will_cover && request.stage == QuotaStage::OnArrival {
         Some(QuotaDecision::Wait)
     } else {
         Some(QuotaDecision::BeyondQuota)
--- a/src/decision/quota/lease.rs
+++ b/src/decision/quota/lease.rs
@@ -1,6 +1,7 @@
 //! Leases: how many units a node draws from the counter ahead of use, and when it releases them.
 
 use super::account::Account;
+use crate::decision::estimators::MICROS_PER_SECOND;
 use crate::decision::{Micros, Plan};
 
 /// A lease covers the recent demand for this long, in microseconds: little of it lies idle.
@@ -29,16 +30,17 @@
 /// what the bucket should hold beyond those requests.
 pub(super) fn units_to_lease(account: &Account, plan: &Plan, needed: f64, now: Micros) -> f64 {
     let level = account.projected_level(plan, now);
-    // Whole requests leased at each of a hundred nodes would strand the burst of an account with few
-    // requests.
+    // Whole requests leased at each node would leave all of the burst of an account with few requests in
+    // leases, where other nodes can't draw it.
     let least_block = (LEASE_REQUESTS * account.demand.mean_units).min(plan.burst_units / account.node_count);
     let block = demand_ahead(account, now).max(least_block);
     let missing = needed - account.lease;
     missing.max(block - account.lease).min((level / 2.0).max(missing)).max(0.0)
 }
 
-/// Takes out of the lease what serves none of the requests that wait, in the order of the queue.
-pub(super) fn take_unneeded(account: &mut Account) -> f64 {
+/// Takes out of the lease the units that no request in the queue needs, and returns them. The lease is set
+/// against the queue in its order.
+pub(super) fn take_units_unneeded_by_queue(account: &mut Account) -> f64 {
     let mut unneeded = account.lease;
     for request in &account.queue {
         if unneeded >= request.units {
@@ -58,5 +60,5 @@
 
 /// The units that clients will request here within [`LEASE_AHEAD`].
 fn demand_ahead(account: &Account, now: Micros) -> f64 {
-    account.demand.requested_rate(now) * LEASE_AHEAD / 1e6
+    account.demand.requested_rate(now) * LEASE_AHEAD / MICROS_PER_SECOND
 }
--- a/src/decision/quota/mod.rs
+++ b/src/decision/quota/mod.rs
@@ -32,11 +32,11 @@
 use counter_calls::{CounterCalls, Increment};
 use counter_health::CounterHealth;
 use known_level::{decide_by_known_level, BucketView};
-use speculation::{draw_ask, Speculation};
+use speculation::{samples_call, AskProbability, Assessment, Speculation};
 
 pub(super) use account::QueuedRequest;
 pub(super) use counter_calls::CounterReply;
-pub(super) use request::{QuotaDecision, QuotaRequest, QuotaTurn};
+pub(super) use request::{QuotaDecision, QuotaRequest, QuotaStage};
 
 /// How an account uses its quota at this node.
 pub(super) struct LocalUse {
@@ -106,7 +106,8 @@
     ///
     /// 1. The lease covers it: it is granted.
     /// 2. A call is in flight, or the last total left too little: it waits or is beyond quota.
-    /// 3. The counter is asked about it: it waits. That depends on the counter's health and on chance.
+    /// 3. The counter is asked about it: it waits. Chance decides which requests ask, so that of all requests
+    ///    only the share asks that the counter's health allows.
     /// 4. The even share covers it: it is granted.
     /// 5. A speculative admission is profitable and affordable: it is granted.
     /// 6. It is beyond quota.
@@ -124,7 +125,7 @@
         if self.draw_from_lease(settings, now, request, actions) {
             return QuotaDecision::Granted { drawn_units: request.units };
         }
-        let Some(account) = self.accounts.get_mut(&request.account) else {
+        let Some(account) = self.accounts.get(&request.account) else {
             return QuotaDecision::BeyondQuota;
         };
         let counter_is_available = self.counter_health.is_available(settings, now);
@@ -136,16 +137,45 @@
         }
         let assessment = self.speculation.assess(account, request, fleet_load(), now);
         let ask = self.speculation.ask_probability(&assessment, self.counter_health.ask_share());
-        if counter_is_available && draw_ask(&ask, random) {
-            account.sampling_weight = ask.sampling_weight;
-            let needed_units = request.units + bucket.queued_units;
-            self.lease(settings, request.account, needed_units, now, actions);
+        if counter_is_available && samples_call(&ask, random) {
+            self.ask_counter(settings, now, request, &bucket, &ask, actions);
             return QuotaDecision::Wait;
         }
+        self.decide_without_counter(now, request, &bucket, &assessment)
+    }
+
+    /// Calls the counter for the units of a request and of those that go first.
+    fn ask_counter(
+        &mut self,
+        settings: &Settings,
+        now: Micros,
+        request: &QuotaRequest<'_>,
+        bucket: &BucketView,
+        ask: &AskProbability,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(account) = self.accounts.get_mut(&request.account) else { return };
+        account.sampling_weight = ask.sampling_weight;
+        let needed_units = request.units + bucket.queued_units;
+        self.lease(settings, request.account, needed_units, now, actions);
+    }
+
+    /// Decides by the even share, then by speculative admission: the last three rules of
+    /// [`QuotaLedger::draw`].
+    fn decide_without_counter(
+        &mut self,
+        now: Micros,
+        request: &QuotaRequest<'_>,
+        bucket: &BucketView,
+        assessment: &Assessment,
+    ) -> QuotaDecision {
+        let Some(account) = self.accounts.get_mut(&request.account) else {
+            return QuotaDecision::BeyondQuota;
+        };
         even_share::refill(account, request.plan, bucket.level, now);
-        let is_silent = self.counter_health.is_silent();
+        let has_failed_repeatedly = self.counter_health.has_failed_repeatedly();
         if even_share::covers(account, request.units)
-            || self.speculation.try_admit(&assessment, request.units, bucket.level, is_silent)
+            || self.speculation.try_admit(assessment, request.units, bucket.level, has_failed_repeatedly)
         {
             even_share::admit_unreported(account, request.units, now);
             return QuotaDecision::Granted { drawn_units: request.units };
@@ -248,7 +278,7 @@
         actions: &mut Vec<Action>,
     ) -> bool {
         let Some(account) = self.accounts.get_mut(&request.account) else { return false };
-        let is_at_front = request.turn == QuotaTurn::AfterReply || account.queue.is_empty();
+        let is_at_front = request.stage == QuotaStage::AfterReply || account.queue.is_empty();
         let is_covered = account.lease >= request.units && is_at_front;
         if is_covered {
             lease::draw_from_lease(account, request.units, now);
--- a/src/decision/quota/replies.rs
+++ b/src/decision/quota/replies.rs
@@ -47,7 +47,7 @@
     }
 
     /// Takes in what became of a call that had timed out. A slow counter adds a call though its reply comes
-    /// too late: taken for draws of other nodes, the units would serve nobody, and the quota would seem
+    /// too late: taken for draws of other nodes, no request could use the units, and the quota would seem
     /// used up.
     pub(in crate::decision) fn on_late_reply(
         &mut self,
@@ -90,10 +90,10 @@
             self.speculation.record_reply(account, is_short, now);
             if is_short {
                 correction.excess_units += call.sampled_units;
-                // A part of a request left over at each of a hundred nodes would strand all of the burst:
-                // with the bucket short, what serves nobody who waits is released at once, and not when it
-                // is idle.
-                correction.excess_units += lease::take_unneeded(account);
+                // A part of a request left over in the lease of each node could add up to all of the burst.
+                // So with the bucket short, units that no waiting request needs are released at once, and
+                // not only when the lease is idle.
+                correction.excess_units += lease::take_units_unneeded_by_queue(account);
             }
         }
         correction
--- a/src/decision/quota/request.rs
+++ b/src/decision/quota/request.rs
@@ -9,12 +9,12 @@
     pub units: f64,
     /// The weight of its class.
     pub priority_weight: f64,
-    pub turn: QuotaTurn,
+    pub stage: QuotaStage,
 }
 
 /// When a request asks for its units.
 #[derive(Clone, Copy, PartialEq)]
-pub(in crate::decision) enum QuotaTurn {
+pub(in crate::decision) enum QuotaStage {
     /// As it arrives: behind those that wait for the counter.
     OnArrival,
     /// Once the counter's reply is in: ahead of those that wait. It does not wait for a call that was made
--- a/src/decision/quota/speculation.rs
+++ b/src/decision/quota/speculation.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 use super::account::Account;
-use super::request::{QuotaRequest, QuotaTurn};
+use super::request::{QuotaRequest, QuotaStage};
 use crate::decision::estimators::{DecayingMean, RandomSource};
 use crate::decision::{Micros, Settings};
 
@@ -24,8 +24,8 @@
 /// A request asks the counter by its value of asking over the mean one, within these bounds.
 const LEAST_RELATIVE_VALUE: f64 = 0.2;
 const GREATEST_RELATIVE_VALUE: f64 = 5.0;
-/// The share of the requested value that speculative admissions may cost. What they let through beyond
-/// quota costs several times what is expected, since replies lag behind and rejected clients retry.
+/// The share of the requested value that speculative admissions may cost. A greater share admits
+/// more requests while the counter is not asked, and lets more through beyond quota.
 const BALANCE_SHARE: f64 = 0.015;
 /// The greatest balance, in requests of the greatest value.
 const BALANCE_LIMIT: f64 = 3.0;
@@ -94,7 +94,7 @@
         let cost_of_rejecting = 1.0 - shortage;
         let cost_of_admitting = shortage * cost_beyond_quota.max(0.0);
         let value_of_asking = cost_of_rejecting.min(cost_of_admitting) * value;
-        if request.turn == QuotaTurn::OnArrival {
+        if request.stage == QuotaStage::OnArrival {
             self.mean_value_of_asking +=
                 (value_of_asking - self.mean_value_of_asking) * MEAN_VALUE_OF_ASKING_GAIN;
         }
@@ -122,19 +122,19 @@
     }
 
     /// Admits a request that is profitable, if the bucket should hold it, and pays for it. Returns whether
-    /// it did. While the counter is silent nothing better is known and paying would keep nobody's quota, so
-    /// it is free.
+    /// it did. While the counter fails repeatedly nothing better is known and paying would keep nobody's
+    /// quota, so it is free.
     pub fn try_admit(
         &mut self,
         assessment: &Assessment,
         units: f64,
         bucket_level: f64,
-        counter_is_silent: bool,
+        counter_has_failed_repeatedly: bool,
     ) -> bool {
         if !assessment.is_profitable || bucket_level < units {
             return false;
         }
-        if counter_is_silent {
+        if counter_has_failed_repeatedly {
             return true;
         }
         let is_affordable = self.balance >= assessment.expected_cost;
@@ -154,8 +154,8 @@
     }
 }
 
-/// Draws whether the counter is asked.
-pub(super) fn draw_ask(ask: &AskProbability, random: &mut RandomSource) -> bool {
+/// Draws by chance whether the request is in the sample that calls the counter.
+pub(super) fn samples_call(ask: &AskProbability, random: &mut RandomSource) -> bool {
     random.uniform() < ask.probability
 }
 
