--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -21,7 +21,7 @@
     pub id: EndpointId,
     /// Its zone.
     pub zone: u32,
-    /// Its kind of machine.
+    /// Its kind of machine. Not used by the decisions.
     pub machine_kind: u32,
     /// Its cell.
     pub cell: u32,
@@ -112,7 +112,7 @@
     pub elapsed: Micros,
     /// Whether the request has its final response.
     pub request_completed: bool,
-    /// The true units, where they are known only now.
+    /// The true units, where they are known only now. Not used by the decisions.
     pub final_units: Option<f64>,
 }
 
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -43,7 +43,7 @@
     pub priority_weight: f64,
     /// Share of the weight that a response after the objective earns, 0 to 1.
     pub late_weight: f64,
-    /// Whether the response is a stream.
+    /// Whether the response is a stream. Not used by the decisions.
     pub streaming: bool,
 }
 
@@ -54,11 +54,12 @@
     pub quota_units_per_second: f64,
     /// Size of the quota's token bucket, which starts full.
     pub burst_units: f64,
-    /// Rate of the hard ceiling; 0 means no ceiling.
+    /// Rate of the hard ceiling; 0 means no ceiling. The decisions use it as a flag: whether there is a
+    /// ceiling.
     pub ceiling_units_per_second: f64,
-    /// Size of the ceiling's token bucket.
+    /// Size of the ceiling's token bucket. Not used by the decisions.
     pub ceiling_burst_units: f64,
-    /// How far the ceiling's token bucket may go below zero.
+    /// How far the ceiling's token bucket may go below zero. Not used by the decisions.
     pub ceiling_slack_units: f64,
     /// Attempts in flight at once; 0 means no such quota.
     pub max_in_flight: u32,
@@ -75,7 +76,7 @@
 pub struct Limits {
     /// Attempts may be cancelled.
     pub cancel_allowed: bool,
-    /// Endpoints may be probed.
+    /// Endpoints may be probed. Not used by the decisions.
     pub probes_allowed: bool,
     /// Rejections may carry a `Retry-After` time.
     pub retry_after_allowed: bool,
@@ -105,7 +106,7 @@
     pub duration: Micros,
     /// An endpoint that is warming up fails when sent this many times its capacity...
     pub overload_multiple: f64,
-    /// ... for this long.
+    /// ... for this long. Not used by the decisions.
     pub overload_duration: Micros,
 }
 
@@ -118,15 +119,15 @@
     pub node_count: u32,
     /// The zone of this node.
     pub zone: u32,
-    /// Least time between two batches of events from the simulator.
+    /// Least time between two batches of events from the simulator. Not used by the decisions.
     pub batch_interval: Micros,
     /// The endpoint list has to be polled; otherwise it is pushed.
     pub polls_endpoint_list: bool,
-    /// Clients mark their retries.
+    /// Clients mark their retries. Not used by the decisions.
     pub clients_mark_retries: bool,
-    /// The most units that one request counts.
+    /// The most units that one request counts. Not used by the decisions.
     pub max_request_units: f64,
-    /// The true units of a request are known only with its response.
+    /// The true units of a request are known only with its response. Not used by the decisions.
     pub units_settled_after: bool,
     /// Cost of an attempt that crosses zones, as a share of a first attempt.
     pub cross_zone_cost: f64,
