--- a/src/decision/attempts/completion.rs
+++ b/src/decision/attempts/completion.rs
@@ -30,8 +30,8 @@
     }
 
     /// Selects an endpoint for another attempt, if there may be one: not that of the failed attempt, unless
-    /// there is no other. An attempt that was not sent is not repeated: the node itself
-    /// could not or must not send it.
+    /// there is no other. An attempt that was not sent is not repeated: the node itself could not or must not
+    /// send it.
     fn select_for_retry(&mut self, end: &EndedAttempt, failed: EndpointId) -> Option<Selection> {
         let pending = self.pending.get(&end.request)?;
         if end.outcome == Outcome::NotSent || !self.retry_policy().allows_retry(pending) {
--- a/src/decision/balancer/mod.rs
+++ b/src/decision/balancer/mod.rs
@@ -123,7 +123,7 @@
     /// The endpoints of the node's subset are examined; of a short list all of it. An endpoint is passed over
     /// when deduplication binds the request to others, or when it is warming up and not due a request. A
     /// recovering endpoint takes one request of a safe class at a time; others pass it over, since a failed
-    /// test request of another class could not be sent again. Of the others the best is selected by
+    /// test request of another class could not be sent again. Of those left the best is selected by
     /// availability, membership in the subset, warm-up and cost, in this order. If none is available,
     /// endpoints beyond the subset are examined as well.
     pub fn select(
--- a/src/decision/balancer/slow_start.rs
+++ b/src/decision/balancer/slow_start.rs
@@ -11,7 +11,7 @@
 /// An endpoint that is no slower than the fleet gets up to this much of its guaranteed share; at most half
 /// the overload multiple.
 const MAX_EAGERNESS: f64 = 1.5;
-/// Most requests that an endpoint that is warming up saves up.
+/// Most requests that are saved up for an endpoint that is warming up.
 const MAX_SAVED_REQUESTS: f64 = 1.5;
 
 /// Counts the requests that a warm endpoint of the subset was due. The buckets of endpoints that are warming
@@ -33,7 +33,7 @@
 
     /// One more request was passed on: a warm endpoint was due its part of it.
     pub fn request_launched(&mut self) {
-        self.due_micro_requests += (MICROS_PER_SECOND / self.subset_capacity.max(1.0)) as Micros;
+        self.due_micro_requests += (MICROS_PER_SECOND / self.subset_capacity.max(1.0)) as u64;
     }
 
     /// The bucket of an endpoint that starts now. It holds a random part of a request: a full one at each
