--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -21,7 +21,7 @@
     pub id: EndpointId,
     /// Its zone.
     pub zone: u32,
-    /// Its kind of machine.
+    /// Its kind of machine. Not used by the decisions.
     pub machine_kind: u32,
     /// Its cell.
     pub cell: u32,
@@ -86,10 +86,17 @@
     Reset,
     /// Cancelled by the node; it may have run.
     Cancelled,
-    /// It was never sent.
+    /// The node itself could not or must not send it; it did not run.
     NotSent,
 }
 
+impl Outcome {
+    /// Whether an attempt that ended like this may have run at its endpoint.
+    pub fn may_have_run(self) -> bool {
+        !matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
+    }
+}
+
 /// The end of an attempt.
 #[derive(Debug, Clone)]
 pub struct EndedAttempt {
@@ -105,7 +112,7 @@
     pub elapsed: Micros,
     /// Whether the request has its final response.
     pub request_completed: bool,
-    /// The true units, where they are known only now.
+    /// The true units, where they are known only now. Not used by the decisions.
     pub final_units: Option<f64>,
 }
 
@@ -165,6 +172,6 @@
         /// The timer's number.
         id: u64,
     },
-    /// Graceful shutdown started: the node takes no more requests.
+    /// Graceful shutdown started: the listener is closed; requests on open connections may still arrive.
     ShutdownStarted,
 }
