--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -18,11 +18,13 @@
 use crate::net::discovery::Discovery;
 use crate::net::event_sink::EventSink;
 use crate::net::open_requests::{Attempt, OpenRequest, OpenRequests};
-use crate::net::upstream::{AttemptResult, ForwardedRequest, Upstreams};
+use crate::net::upstream::{AttemptOutcome, ForwardedRequest, Upstreams};
 
 pub use crate::net::open_requests::{DuplicateRequestId, FinalResponse};
 
-/// A request without a final response this long before the client stops waiting has failed.
+/// A request without a final response this long before the client stops waiting is answered 504. This is less than
+/// `ATTEMPT_MARGIN` of the open requests: attempts end first, so a request that hangs at an endpoint is answered 502
+/// or 503 before, and 504 is left for one that still waits for something else, such as the counter.
 const RESPONSE_MARGIN: Micros = 15_000;
 
 /// One edge node's event loop.
@@ -237,12 +239,12 @@
 
     /// Ends an attempt before its endpoint has responded.
     fn end_attempt(&self, id: &RequestId, attempt_number: usize, outcome: Outcome) {
-        self.finish_attempt(id, attempt_number, AttemptResult { outcome, body: None });
+        self.finish_attempt(id, attempt_number, AttemptOutcome { outcome, body: None });
     }
 
     /// Reports the end of an attempt; a second end of the same one is dropped. With a body, the request is served.
-    fn finish_attempt(&self, id: &RequestId, attempt_number: usize, result: AttemptResult) {
-        let AttemptResult { outcome, body } = result;
+    fn finish_attempt(&self, id: &RequestId, attempt_number: usize, result: AttemptOutcome) {
+        let AttemptOutcome { outcome, body } = result;
         let mut open_requests = self.open_requests.borrow_mut();
         let Some(request) = open_requests.get_mut(id) else { return };
         let Some(attempt) = request.attempts.get_mut(attempt_number) else { return };
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -13,14 +13,14 @@
 use crate::decision::EndpointId;
 use crate::net::descriptor_budget::{DescriptorBudget, DescriptorPermit};
 use crate::net::discovery::endpoints::Endpoint;
-use crate::net::http_client::ClientConnection;
+use crate::net::http_client::HttpConnection;
 use crate::net::upstream::known_endpoints::KnownEndpoints;
 use crate::net::upstream::reuse::ReuseLimit;
 
 /// How long a connection stays unused after a response. A second copy of a response may come some milliseconds
 /// behind it, and on a connection used again by then it would be matched to the next request. After that time it has
 /// come, and its connection is closed for it.
-const MIN_IDLE: Duration = Duration::from_millis(20);
+const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(20);
 
 /// Why there is no connection to an endpoint.
 #[derive(Debug, thiserror::Error)]
@@ -41,7 +41,7 @@
 
 /// A connection that no request is open on.
 pub(super) struct IdleConnection {
-    connection: ClientConnection,
+    connection: HttpConnection,
     idle_since: Instant,
 }
 
@@ -82,7 +82,7 @@
 
 /// A connection in use, and the pool that it was opened for.
 pub(super) struct PooledConnection {
-    pub(super) connection: ClientConnection,
+    pub(super) connection: HttpConnection,
     pub(super) pool: Rc<EndpointPool>,
     /// How long it stood idle; none if it is new.
     pub(super) idle_for: Option<Duration>,
@@ -181,8 +181,9 @@
     /// to it are closed.
     pub(super) fn take_idle(&self, pool: &Rc<EndpointPool>) -> Option<PooledConnection> {
         let mut idle = pool.idle.borrow_mut();
-        let is_rested = |connection: &IdleConnection| connection.idle_since.elapsed() >= MIN_IDLE;
-        while let Some(position) = idle.iter().rposition(is_rested) {
+        let may_be_reused =
+            |connection: &IdleConnection| connection.idle_since.elapsed() >= MIN_IDLE_BEFORE_REUSE;
+        while let Some(position) = idle.iter().rposition(may_be_reused) {
             let candidate = idle.remove(position);
             if self.is_usable(&candidate) {
                 return Some(PooledConnection {
@@ -203,7 +204,7 @@
     ) -> Result<PooledConnection, AcquireError> {
         let connect = async {
             let permit = self.acquire_permit().await;
-            ClientConnection::open(pool.address, permit).await
+            HttpConnection::open(pool.address, permit).await
         };
         match timeout(connect_timeout, connect).await {
             Ok(Ok(connection)) => Ok(PooledConnection { connection, pool: pool.clone(), idle_for: None }),
@@ -221,7 +222,7 @@
     }
 
     /// Keeps a connection after a response that was read to its end.
-    pub(super) fn keep(&self, connection: ClientConnection, pool: &EndpointPool) {
+    pub(super) fn keep(&self, connection: HttpConnection, pool: &EndpointPool) {
         pool.idle.borrow_mut().push(IdleConnection { connection, idle_since: Instant::now() });
         self.budget.notify_waiters();
     }
