--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -4,8 +4,8 @@
 use super::estimators::{DecayingMean, MICROS_PER_SECOND};
 use super::{Micros, NewRequest, Settings, TICK};
 
-/// Weight of a tick in the mean of attempts in flight: over 0.2 s, some times what a request takes. The count
-/// of the few requests that one node has in flight swings by chance, and overload is judged by it.
+/// Weight of a tick in the mean of attempts in flight, which so covers some 0.2 s: the few requests that one
+/// node has in flight vary by chance, and overload is judged by their number.
 const IN_FLIGHT_GAIN: f64 = 0.1;
 /// Time constant of the mean response time, in microseconds.
 const RESPONSE_TIME_CONSTANT: f64 = 4.0e6;
@@ -16,8 +16,8 @@
 /// Least value that weights and factors are divided by.
 const MIN_WEIGHT: f64 = 1e-9;
 /// A request is shed when its expected response time is past this share of the latency objective: for
-/// requests of the least weight and for those of the greatest. A greater
-/// share admits more requests, of which more are answered late; a smaller one sheds more of them early.
+/// requests of the least weight and for those of the greatest. A greater share admits more requests, of which
+/// more are answered late; a smaller one sheds more of them early.
 pub(super) const LEAST_SHED_THRESHOLD: f64 = 0.25;
 pub(super) const GREATEST_SHED_THRESHOLD: f64 = 0.48;
 
