--- a/src/decision/quota/account.rs
+++ b/src/decision/quota/account.rs
@@ -1,4 +1,4 @@
-//! What a node keeps of one account.
+//! The state that a node keeps of one account.
 
 use std::collections::VecDeque;
 
@@ -11,46 +11,49 @@
 
 /// An account is kept for at least this long after its latest request.
 const ACCOUNT_LIFETIME: Micros = 6_000_000;
-/// An account with a lease is kept for this long, so that the lease can be released first.
+/// An account that holds a lease is kept for this long after its latest request, so that the lease can be
+/// released before the account is forgotten.
 const LEASED_ACCOUNT_LIFETIME: Micros = COUNTER_LIFETIME;
 
-/// A request that waits for the reply of the counter.
+/// A request that waits for a reply of the counter service.
 pub(in crate::decision) struct QueuedRequest {
     pub id: RequestId,
     pub units: f64,
 }
 
-/// An account as this node knows it. Units are units of quota, rates are units per second.
+/// The state of an account at this node. Amounts are in units of quota, rates in units per second.
 #[derive(Default)]
 pub(super) struct Account {
-    /// Index of the plan that its latest request named.
+    /// Index of the plan that the account's latest request named.
     pub plan: usize,
-    /// How many nodes get its requests, as its latest request said.
+    /// Number of nodes that receive the account's requests, as given by its latest request.
     pub node_count: f64,
-    /// Units drawn from the counter that no request here has used yet.
+    /// Units that this node drew from the counter and that no request has used yet.
     pub lease: f64,
-    /// The token bucket that the account has in the fleet.
+    /// The account's token bucket in the whole fleet, as far as this node knows it.
     pub bucket: FleetBucket,
-    /// What is requested and drawn here.
+    /// What clients request at this node, and what is drawn here.
     pub demand: Demand,
-    /// Share of the counter's replies to a lease that found the bucket short.
+    /// Share of the counter's replies to leases that found the bucket short, 0 to 1.
     pub shortage: DecayingMean,
-    /// How many requests that no call asked for the next call represents.
+    /// Number of requests without a call of their own that the next call represents as a sample.
     pub sampling_weight: f64,
-    /// The call to the counter that is in flight: one at a time.
+    /// The call to the counter that is in flight. An account has at most one.
     pub call: Option<CounterCall>,
-    /// Requests that wait for the reply, in the order of their arrival.
+    /// Requests that wait for a counter reply, in the order of their arrival.
     pub queue: VecDeque<QueuedRequest>,
     /// Units admitted without the counter that no call has reported yet.
     pub unreported_units: f64,
-    /// This node's even share of the quota, for requests that are decided without the counter.
+    /// This node's even share of the quota, for requests that are decided without the counter. `None` at
+    /// first and after each total, until the next such request.
     pub even_share: Option<TokenBucket>,
     pub attempts_in_flight: u32,
     pub last_request_at: Micros,
 }
 
 impl Account {
-    /// An account whose first request, of this many units, comes at the time `now`.
+    /// Returns the state of an account whose first request arrives at `now` and has this many units. The
+    /// request itself is not recorded.
     pub fn new(plan: Option<&Plan>, node_count: f64, units: f64, now: Micros) -> Self {
         Account {
             bucket: FleetBucket::new(plan, node_count, now),
@@ -59,7 +62,7 @@
         }
     }
 
-    /// Takes a request of a client into the account's demand.
+    /// Adds a client's request to the account's demand, and updates the plan and the node count.
     pub fn record_request(&mut self, plan: usize, node_count: f64, units: f64, now: Micros) {
         self.plan = plan;
         self.node_count = node_count;
@@ -67,39 +70,44 @@
         self.demand.record_request(units, now);
     }
 
-    /// What the fleet's bucket should hold now beside this node's lease, if the other nodes go on drawing as
-    /// they did.
+    /// Returns the units that the fleet's bucket is expected to hold at `now` in addition to this node's
+    /// lease, if the other nodes continue to draw at their recent rate.
     pub fn projected_level(&self, plan: &Plan, now: Micros) -> f64 {
         let projected = self.bucket.projected_level(plan, self.node_count, now);
         projected.min(plan.burst_units - self.lease)
     }
 
-    /// The units of all requests that wait for the counter.
+    /// Returns the units of all requests that wait for the counter.
     pub fn queued_units(&self) -> f64 {
         self.queue.iter().map(|request| request.units).sum()
     }
 
-    /// Whether the plan's quota of attempts in flight is used up. Of its slots the other nodes occupy what
-    /// their recent draws keep in flight; where no recent total shows these, their even share. A node with no
-    /// more than one attempt in flight is never held back.
+    /// Returns whether the plan's quota of attempts in flight is used up; `false` if the plan has no such
+    /// quota.
+    ///
+    /// The attempts in flight at other nodes are estimated from their recent draws. If no recent total shows
+    /// these draws, the other nodes are assumed to use their even share of the slots. A node with at most one
+    /// attempt in flight is never held back.
     pub fn is_concurrency_exhausted(&self, plan: &Plan, fleet_mean_latency: f64, now: Micros) -> bool {
         if plan.max_in_flight == 0 {
             return false;
         }
         let slots = plan.max_in_flight as f64;
-        let in_flight_elsewhere = if self.bucket.shows_other_nodes(now) {
+        let in_flight_elsewhere = if self.bucket.has_recent_total(now) {
             let requests_elsewhere = self.bucket.draw_rate_elsewhere(now) / self.demand.mean_units.max(0.1);
             requests_elsewhere * fleet_mean_latency / MICROS_PER_SECOND
         } else {
             slots * (1.0 - 1.0 / self.node_count)
         };
-        // The half rounds to whole slots.
+        // The 0.5 rounds to whole slots.
         let occupied_slots = self.attempts_in_flight as f64 + in_flight_elsewhere + 0.5;
         occupied_slots > slots.max(in_flight_elsewhere + 1.5)
     }
 
-    /// Whether nothing is lost with the account: no work is in flight, its bucket must be full again and its
-    /// lease has been released, so that the counter's next reply says all of it anew.
+    /// Returns whether the account can be forgotten without a loss: it has no work in flight, its bucket must
+    /// be full again, and its lease has been released, so that the counter's next reply provides the complete
+    /// state again. An account whose lease could not be released can be forgotten after
+    /// [`LEASED_ACCOUNT_LIFETIME`].
     pub fn can_be_forgotten(&self, plan: Option<&Plan>, now: Micros) -> bool {
         let is_idle = self.attempts_in_flight == 0 && self.call.is_none() && self.queue.is_empty();
         let lifetime = if self.has_releasable_lease() {
@@ -110,13 +118,13 @@
         is_idle && now > self.last_request_at + lifetime
     }
 
-    /// Whether the lease holds more than half of a mean request.
+    /// Returns whether the lease holds more than half of the units of a mean request.
     pub fn has_releasable_lease(&self) -> bool {
         self.lease > self.demand.mean_units / 2.0
     }
 }
 
-/// How long an empty bucket of the plan takes to fill; 0 without a quota of units.
+/// Returns how long an empty bucket of the plan takes to fill; 0 without a quota of units.
 fn refill_time(plan: Option<&Plan>) -> Micros {
     match plan {
         Some(plan) if plan.quota_units_per_second > 0.0 => {
--- a/src/decision/quota/counter_calls.rs
+++ b/src/decision/quota/counter_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the counter service: those in flight, and those that timed out.
+//! Tracks the calls to the counter service: those in flight and those that timed out.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,12 +7,12 @@
 use super::counter_window::{CounterWindow, COUNTER_LIFETIME};
 use crate::decision::{AccountId, Action, CounterKey, Micros};
 
-/// What a call adds to the counter, besides what the account has yet to report.
+/// The units that a call adds to the counter in addition to the account's unreported units.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Increment {
     /// Units to lease; negative for a release.
     pub lease_units: f64,
-    /// Overflow to correct; negative to take a correction back.
+    /// Overflow to correct, in units; negative to take a correction back.
     pub overflow_units: f64,
 }
 
@@ -30,23 +30,24 @@
     }
 }
 
-/// A call that timed out.
+/// A call that timed out, with its account.
 pub(super) struct TimedOutCall {
     pub account: AccountId,
     pub call: CounterCall,
 }
 
-/// The calls of all accounts. An account holds its own call; here is which account a reply belongs to.
+/// The calls of all accounts. Each account holds its own call in flight; this type maps the key of a reply to
+/// the account.
 #[derive(Default)]
 pub(super) struct CounterCalls {
     in_flight: BTreeMap<CounterKey, AccountId>,
-    /// Calls that timed out and may yet be answered, by key, the oldest first.
+    /// Calls that timed out and may still be answered, by key, the oldest first.
     timed_out: BTreeMap<CounterKey, VecDeque<TimedOutCall>>,
 }
 
 impl CounterCalls {
-    /// Calls the counter of the account's present window. The call reports all that the account has to
-    /// report.
+    /// Calls the counter of the account's current window. The call also reports all of the account's
+    /// unreported units.
     pub fn start(
         &mut self,
         id: AccountId,
@@ -73,23 +74,25 @@
         actions.push(Action::IncrementCounter { key, amount, keep_for: COUNTER_LIFETIME });
     }
 
-    /// Reads a counter by a call that adds nothing.
+    /// Reads a counter by a call that adds 0 units.
     pub fn read(&mut self, key: CounterKey, id: AccountId, actions: &mut Vec<Action>) {
         self.in_flight.insert(key, id);
         actions.push(Action::IncrementCounter { key, amount: 0.0, keep_for: COUNTER_LIFETIME });
     }
 
-    /// The account whose call was in flight with this key, which has ended.
+    /// Ends the call in flight with this key and returns its account. Returns `None` if no call with this key
+    /// is in flight.
     pub fn end(&mut self, key: CounterKey) -> Option<AccountId> {
         self.in_flight.remove(&key)
     }
 
-    /// Keeps a call that timed out for a late reply.
+    /// Keeps a call that timed out until its late reply arrives or the call expires.
     pub fn keep_timed_out(&mut self, key: CounterKey, account: AccountId, call: CounterCall) {
         self.timed_out.entry(key).or_default().push_back(TimedOutCall { account, call });
     }
 
-    /// The call that a late reply belongs to: replies with one key come in the order of the calls.
+    /// Removes and returns the call that a late reply belongs to: the oldest one with this key, since replies
+    /// with one key arrive in the order of the calls. Returns `None` if there is none.
     pub fn take_timed_out(&mut self, key: CounterKey) -> Option<TimedOutCall> {
         self.timed_out.get_mut(&key)?.pop_front()
     }
@@ -102,8 +105,8 @@
     }
 }
 
-/// Returns to the account what a call that was not added was to report or release. After a reread this is
-/// unknown, so nothing is returned.
+/// Gives back to the account what a call that was not added should have reported or released. After a reread
+/// it is unknown whether the call was added, so nothing is given back.
 pub(super) fn revert_call(account: &mut Account, call: &CounterCall) {
     if call.rereads == 0 {
         account.unreported_units += call.reported_units - call.overflow_units;
--- a/src/decision/quota/fleet_bucket.rs
+++ b/src/decision/quota/fleet_bucket.rs
@@ -1,62 +1,64 @@
-//! The token bucket that an account has in the whole fleet, as far as one node knows it by the counter's
+//! The token bucket that an account has in the whole fleet, as far as one node knows it from the counter's
 //! totals.
 //!
-//! A window's total is all that was drawn in it, at all nodes. The bucket's level follows from it, but for
-//! two things that a total cannot show: units that flowed over while the bucket was full, which are added
-//! to the total as an overflow correction, and what was drawn before the total was lost by a flush or
-//! restart.
+//! A window's total is the sum of all units that all nodes drew in the window. The bucket's level follows
+//! from it, except for two things that a total cannot show:
+//!
+//! - Units that overflowed while the bucket was full. They are added to the total as an overflow correction.
+//! - Units that were drawn before a flush or restart of the service, by which the total was lost.
 
 use super::counter_call::CounterCall;
 use super::counter_window::CounterWindow;
-use super::demand::RATE_SPAN;
+use super::demand::RATE_TIME_CONSTANT;
 use crate::decision::estimators::{DecayingRate, MICROS_PER_SECOND};
 use crate::decision::{Micros, Plan};
 
-/// A total shows what other nodes draw for this long. It is longer than a lease lies idle, so where it has
-/// passed the counter has not replied though the account was in use.
+/// A total shows what other nodes draw for this long. It is longer than the time after which an idle lease is
+/// released, so if it has passed, the counter has not replied although the account was in use.
 const TOTAL_LIFETIME: Micros = 4_000_000;
 
-/// The counter's total as it was last seen.
+/// The latest total of the counter that this node has seen.
 #[derive(Clone, Copy)]
-struct SeenTotal {
+struct KnownTotal {
     window: CounterWindow,
     units: f64,
 }
 
-/// The bucket of an account. Levels are in units of quota.
+/// The fleet-wide token bucket of one account. Levels are in units of quota.
 #[derive(Default)]
 pub(super) struct FleetBucket {
     /// The level at the time `updated_at`.
     level: f64,
     updated_at: Micros,
-    /// None before the counter's first reply.
-    last_total: Option<SeenTotal>,
-    /// What other nodes draw, in units per second.
+    /// `None` before the counter's first reply.
+    last_total: Option<KnownTotal>,
+    /// Rate at which other nodes draw, in units per second.
     drawn_elsewhere: DecayingRate,
 }
 
-/// What a total showed about the bucket.
+/// What a total showed about the bucket. Amounts are in units.
 pub(super) struct Observation {
-    /// The level by the total alone. It is above the level of the bucket by what flowed over.
+    /// The level computed from the total alone. It exceeds the level of the bucket by the units that
+    /// overflowed.
     pub level_by_total: f64,
-    /// What other nodes drew since the total before.
+    /// Units that other nodes drew since the previous total.
     pub drawn_elsewhere: f64,
-    /// The level does not follow from the total.
-    pub is_carried_on: bool,
+    /// Whether the level was carried forward from the previous one instead of computed from the total.
+    pub is_carried_forward: bool,
 }
 
-/// A total of the counter beside the one before it.
+/// A total of the counter compared with the previous one. Amounts are in units.
 struct TotalChange {
-    /// Growth of the total since it was last seen, with this call's units.
+    /// Growth of the total since it was last seen, including this call's units.
     growth: f64,
-    /// The total of this window was not seen before.
+    /// Whether no total of this window was seen before.
     is_first_in_window: bool,
-    /// The total fell: the counter was flushed or restarted.
+    /// Whether the total fell, because the counter was flushed or restarted.
     has_fallen: bool,
 }
 
 impl FleetBucket {
-    /// The bucket of an account that no total is known of.
+    /// Returns the bucket of an account of which no total is known.
     pub fn new(plan: Option<&Plan>, node_count: f64, now: Micros) -> Self {
         FleetBucket {
             level: plan.map_or(0.0, |plan| initial_level(plan, node_count)),
@@ -65,39 +67,39 @@
         }
     }
 
-    /// The level when the latest total was taken in.
+    /// Returns the level as of the latest total.
     pub fn level(&self) -> f64 {
         self.level
     }
 
-    /// Whether a total has been seen.
-    pub fn is_known(&self) -> bool {
+    /// Returns whether a total has been seen.
+    pub fn has_total(&self) -> bool {
         self.last_total.is_some()
     }
 
-    /// Whether a total was seen so lately that it shows what other nodes draw.
-    pub fn shows_other_nodes(&self, now: Micros) -> bool {
-        self.is_known() && now < self.updated_at + TOTAL_LIFETIME
+    /// Returns whether a total was seen recently enough to show what other nodes draw.
+    pub fn has_recent_total(&self, now: Micros) -> bool {
+        self.has_total() && now < self.updated_at + TOTAL_LIFETIME
     }
 
-    /// The total that was last seen in this window; 0 if there was none.
+    /// Returns the latest total that was seen in this window; 0 if there is none.
     pub fn last_total_in(&self, window: CounterWindow) -> f64 {
-        self.seen_in(window).unwrap_or(0.0)
+        self.known_total_in(window).unwrap_or(0.0)
     }
 
-    /// What other nodes draw, in units per second.
+    /// Returns the rate at which other nodes draw, in units per second.
     pub fn draw_rate_elsewhere(&self, now: Micros) -> f64 {
-        self.drawn_elsewhere.per_second(now, RATE_SPAN)
+        self.drawn_elsewhere.per_second(now, RATE_TIME_CONSTANT)
     }
 
-    /// The level now, if the other nodes go on drawing as they did.
+    /// Returns the level at `now`, if the other nodes continue to draw at their recent rate.
     pub fn projected_level(&self, plan: &Plan, node_count: f64, now: Micros) -> f64 {
         let net_rate = (plan.quota_units_per_second - self.draw_rate_elsewhere(now))
             .max(plan.quota_units_per_second / node_count);
         self.level + net_rate * seconds_between(self.updated_at, now)
     }
 
-    /// Takes in the total after a call that was added.
+    /// Updates the bucket with the total after a call that was added.
     pub fn observe(
         &mut self,
         plan: &Plan,
@@ -108,24 +110,25 @@
     ) -> Observation {
         let change = self.compare_totals(plan, window, call, total);
         let drawn_elsewhere = (change.growth - call.lease_units - call.reported_units).max(0.0);
-        self.drawn_elsewhere.record(now, drawn_elsewhere, RATE_SPAN);
+        self.drawn_elsewhere.record(now, drawn_elsewhere, RATE_TIME_CONSTANT);
         let level_by_total = plan.burst_units
             + plan.quota_units_per_second * seconds_between(window.started_at(), now)
             - total;
-        // A total that fell shows nothing of the past: the level is carried on, less what the other nodes
-        // draw. Under a hard ceiling it always is, since no total may grant a burst twice.
-        let is_carried_on = change.has_fallen || plan.ceiling_units_per_second > 0.0;
-        self.level = if is_carried_on {
-            self.carried_level(plan, &change, now)
+        // After a flush or restart, a total does not include earlier draws. The level is then carried
+        // forward, less what the other nodes draw. Under a hard ceiling it is always carried forward, because
+        // no total may grant a burst twice.
+        let is_carried_forward = change.has_fallen || plan.ceiling_units_per_second > 0.0;
+        self.level = if is_carried_forward {
+            self.carried_forward_level(plan, &change, now)
         } else {
             level_by_total.min(self.refilled_level(plan, now) - call.lease_units)
         };
         self.updated_at = now;
-        self.last_total = Some(SeenTotal { window, units: total });
-        Observation { level_by_total, drawn_elsewhere, is_carried_on }
+        self.last_total = Some(KnownTotal { window, units: total });
+        Observation { level_by_total, drawn_elsewhere, is_carried_forward }
     }
 
-    fn seen_in(&self, window: CounterWindow) -> Option<f64> {
+    fn known_total_in(&self, window: CounterWindow) -> Option<f64> {
         self.last_total.filter(|last| last.window == window).map(|last| last.units)
     }
 
@@ -136,22 +139,22 @@
         call: &CounterCall,
         total: f64,
     ) -> TotalChange {
-        let last_total = self.seen_in(window);
+        let last_total = self.known_total_in(window);
         let has_fallen =
             last_total.is_some_and(|last| total + plan.burst_units / 2.0 < last + call.lease_units);
         let base = last_total.filter(|_| !has_fallen).unwrap_or(total - call.lease_units);
         TotalChange { growth: total - base, is_first_in_window: last_total.is_none(), has_fallen }
     }
 
-    /// The level now if nothing had been drawn since it was last computed.
+    /// Returns the level at `now` if nothing had been drawn since it was last computed.
     fn refilled_level(&self, plan: &Plan, now: Micros) -> f64 {
         let refill = plan.quota_units_per_second * seconds_between(self.updated_at, now);
         (self.level + refill).min(plan.burst_units)
     }
 
-    /// The level by what was known before, less what was drawn since: the total's growth, and the usual
-    /// draws of the other nodes for a time that the total does not cover.
-    fn carried_level(&self, plan: &Plan, change: &TotalChange, now: Micros) -> f64 {
+    /// Returns the previous level, refilled up to `now`, less what was drawn since: the total's growth and,
+    /// for a period that the total does not cover, the draws of the other nodes at their recent rate.
+    fn carried_forward_level(&self, plan: &Plan, change: &TotalChange, now: Micros) -> f64 {
         let unseen_draws = if change.is_first_in_window || change.has_fallen {
             self.draw_rate_elsewhere(now) * seconds_between(self.updated_at, now)
         } else {
@@ -161,9 +164,9 @@
     }
 }
 
-/// What the bucket of an unknown account is taken to hold. Under a hard ceiling that is only half of this
-/// node's part: any number of nodes may restart while the counter is empty, and each would grant a full
-/// burst.
+/// Returns the assumed level of the bucket of an unknown account. Under a hard ceiling this is only half of
+/// this node's part: any number of nodes may restart while the counter is empty, and each of them would
+/// otherwise grant a full burst.
 fn initial_level(plan: &Plan, node_count: f64) -> f64 {
     if plan.ceiling_units_per_second > 0.0 {
         plan.burst_units / node_count / 2.0
@@ -172,7 +175,7 @@
     }
 }
 
-/// The seconds from `start` to `now`; 0 if it is the later.
+/// Returns the seconds from `start` to `now`; 0 if `start` is the later one.
 fn seconds_between(start: Micros, now: Micros) -> f64 {
     now.saturating_sub(start) as f64 / MICROS_PER_SECOND
 }
--- a/src/decision/quota/known_level.rs
+++ b/src/decision/quota/known_level.rs
@@ -1,13 +1,13 @@
-//! Decisions without a call to the counter: by the call in flight, or by the total that was last seen.
+//! Decides requests without a new call to the counter: by the call in flight, or by the latest total.
 
 use super::account::Account;
 use super::request::{QuotaDecision, QuotaRequest, QuotaStage};
 use crate::decision::Micros;
 
-/// What the fleet's bucket should hold for a request, as far as this node knows.
+/// The units that the fleet's bucket is expected to hold for a request, as far as this node knows.
 pub(super) struct BucketView {
     pub level: f64,
-    /// Units of requests that go first.
+    /// Units of the requests that are served before this one.
     pub queued_units: f64,
 }
 
@@ -21,8 +21,8 @@
     }
 }
 
-/// Decides without the counter where a call is in flight or the last total left too little. None if the
-/// counter has to be asked.
+/// Decides a request without a new call, if a call is in flight or the latest total left too few units.
+/// Returns `None` if the counter has to be called.
 pub(super) fn decide_by_known_level(
     account: &Account,
     request: &QuotaRequest<'_>,
@@ -30,7 +30,7 @@
 ) -> Option<QuotaDecision> {
     let Some(call) = &account.call else {
         let is_short =
-            account.bucket.is_known() && bucket.level + account.lease - bucket.queued_units < request.units;
+            account.bucket.has_total() && bucket.level + account.lease - bucket.queued_units < request.units;
         return is_short.then_some(QuotaDecision::BeyondQuota);
     };
     let lease_after_call = account.lease + call.lease_units.min(bucket.level).max(0.0);
--- a/src/decision/quota/lease.rs
+++ b/src/decision/quota/lease.rs
@@ -4,42 +4,45 @@
 use crate::decision::estimators::MICROS_PER_SECOND;
 use crate::decision::{Micros, Plan};
 
-/// A lease covers the recent demand for this long, in microseconds: little of it lies idle.
-const LEASE_AHEAD: f64 = 0.5e6;
+/// A lease covers the recent demand for this long, in microseconds. It is short, so that few leased units are
+/// idle.
+const LEASE_HORIZON: f64 = 0.5e6;
 /// A lease covers at least this many mean requests.
-const LEASE_REQUESTS: f64 = 3.0;
-/// The lease of an account without requests for this long is released.
-pub(super) const LEASE_IDLE: Micros = 3_000_000;
+const MIN_LEASE_REQUESTS: f64 = 3.0;
+/// A lease is released after the account has had no request for this long.
+pub(super) const LEASE_IDLE_TIMEOUT: Micros = 3_000_000;
 
-/// Takes units off the lease, which must hold as many.
+/// Takes units from the lease, which must hold at least as many.
 pub(super) fn draw_from_lease(account: &mut Account, units: f64, now: Micros) {
     account.lease -= units;
     account.demand.record_draw(units, now);
 }
 
-/// Whether the lease should be refilled before it is used up, beside the requests. Only where the demand is
-/// large enough that a lease of the least size would not do.
+/// Returns whether the lease should be refilled while requests still draw on it. This applies only if the
+/// demand is too large for a lease of the minimum size.
 pub(super) fn needs_prefetch(account: &Account, now: Micros) -> bool {
-    let demand = demand_ahead(account, now);
+    let demand = expected_demand(account, now);
     account.call.is_none()
-        && demand > LEASE_REQUESTS * account.demand.mean_units
+        && demand > MIN_LEASE_REQUESTS * account.demand.mean_units
         && account.lease < demand / 2.0
 }
 
-/// How many units to lease for requests of `needed` units: a block sized by the demand, no more than half of
-/// what the bucket should hold beyond those requests.
+/// Returns how many units to lease for requests of `needed` units in total. The lease is filled up to a block
+/// that is sized by the demand. Beyond the units that those requests need, the call takes no more than half
+/// of the bucket's projected level.
 pub(super) fn units_to_lease(account: &Account, plan: &Plan, needed: f64, now: Micros) -> f64 {
     let level = account.projected_level(plan, now);
-    // Whole requests leased at each node would leave all of the burst of an account with few requests in
-    // leases, where other nodes can't draw it.
-    let least_block = (LEASE_REQUESTS * account.demand.mean_units).min(plan.burst_units / account.node_count);
-    let block = demand_ahead(account, now).max(least_block);
+    // The minimum block is limited to this node's part of the burst. If each node leased whole requests, the
+    // leases would hold all of the burst of an account with few requests, and other nodes could not draw it.
+    let min_block =
+        (MIN_LEASE_REQUESTS * account.demand.mean_units).min(plan.burst_units / account.node_count);
+    let block = expected_demand(account, now).max(min_block);
     let missing = needed - account.lease;
     missing.max(block - account.lease).min((level / 2.0).max(missing)).max(0.0)
 }
 
-/// Takes out of the lease the units that no request in the queue needs, and returns them. The lease is set
-/// against the queue in its order.
+/// Removes the units that no queued request needs from the lease, and returns them. The lease is assigned to
+/// the requests in the order of the queue.
 pub(super) fn take_units_unneeded_by_queue(account: &mut Account) -> f64 {
     let mut unneeded = account.lease;
     for request in &account.queue {
@@ -51,14 +54,15 @@
     unneeded
 }
 
-/// Whether the account had no request for longer than `idle_for` and holds a lease that can be released.
+/// Returns whether the account has had no request for longer than `idle_for` and holds a lease that can be
+/// released.
 pub(super) fn is_idle(account: &Account, idle_for: Micros, now: Micros) -> bool {
     now.saturating_sub(account.last_request_at) > idle_for
         && account.call.is_none()
         && account.has_releasable_lease()
 }
 
-/// The units that clients will request here within [`LEASE_AHEAD`].
-fn demand_ahead(account: &Account, now: Micros) -> f64 {
-    account.demand.requested_rate(now) * LEASE_AHEAD / MICROS_PER_SECOND
+/// Returns the units that clients are expected to request at this node within [`LEASE_HORIZON`].
+fn expected_demand(account: &Account, now: Micros) -> f64 {
+    account.demand.requested_rate(now) * LEASE_HORIZON / MICROS_PER_SECOND
 }
--- a/src/decision/quota/mod.rs
+++ b/src/decision/quota/mod.rs
@@ -1,14 +1,16 @@
-//! Quotas: accounts draw their units from a counter that all nodes share, by leases that each node holds.
+//! Enforces the quotas of accounts. The nodes share counters at the counter service; each node leases units
+//! from them, and its requests draw on the leases.
 //!
-//! [`QuotaLedger`] has the accounts and puts the parts together. Reading order:
+//! [`QuotaLedger`] holds the accounts and connects the parts. Reading order:
 //!
-//! - `account`: what is known of one account, with its `demand` here and its `fleet_bucket`; `lease`: how
-//!   much to lease, when to release it.
+//! - `account`: the state of one account, with its `demand` at this node and its `fleet_bucket`; `lease`: how
+//!   many units to lease and when to release them.
 //! - This file, [`QuotaLedger::draw`]: the rules by which a request gets its units. `known_level` decides
-//!   without the counter, `even_share` and `speculation` where the counter can't be asked.
-//! - `counter_window`, `counter_call`, `counter_calls`, `counter_health`: the counters, one call to them, all
+//!   without a new call to the counter; `even_share` and `speculation` decide if the counter cannot be
+//!   called.
+//! - `counter_window`, `counter_call`, `counter_calls`, `counter_health`: the counters, a single call, all
 //!   calls, and the pauses after failures.
-//! - `replies`, `reconciliation`: what a reply changes, and what the counter is corrected by.
+//! - `replies`, `reconciliation`: what a reply changes, and how the counter is corrected.
 
 mod account;
 mod counter_call;
@@ -33,7 +35,7 @@
 use counter_calls::{CounterCalls, Increment};
 use counter_health::CounterHealth;
 use known_level::{decide_by_known_level, BucketView};
-use speculation::{samples_call, AskProbability, Assessment, Speculation};
+use speculation::{samples_call, Assessment, CallSampling, Speculation};
 
 pub(super) use account::QueuedRequest;
 pub(super) use counter_call::CounterReply;
@@ -41,14 +43,13 @@
 
 /// How an account uses its quota at this node.
 pub(super) struct LocalUse {
-    /// Units per second drawn here.
+    /// Rate at which units are drawn at this node, in units per second.
     pub drawn_rate: f64,
-    /// How many nodes get the account's requests.
+    /// Number of nodes that receive the account's requests.
     pub node_count: f64,
 }
 
-/// The accounts of this node, and the calls to the counter service by which they share quotas with other
-/// nodes.
+/// The accounts of this node, and the calls to the counter service by which the nodes share quotas.
 pub(super) struct QuotaLedger {
     accounts: BTreeMap<AccountId, Account>,
     calls: CounterCalls,
@@ -66,17 +67,17 @@
         }
     }
 
-    /// How many accounts are kept.
+    /// Returns the number of accounts that are kept.
     pub fn account_count(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Whether the account is kept.
+    /// Returns whether the account is kept.
     pub fn contains(&self, account: AccountId) -> bool {
         self.accounts.contains_key(&account)
     }
 
-    /// Takes a client's request into its account's demand, whatever is decided about it.
+    /// Adds a client's request to its account's demand, regardless of the decision about the request.
     pub fn record_request(&mut self, settings: &Settings, now: Micros, request: &NewRequest) {
         let plan = settings.plans.get(request.plan);
         let node_count = request.account_node_count.clamp(1, settings.node_count.max(1)) as f64;
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Whether the account has as many attempts in flight over all nodes as its plan allows.
+    /// Returns whether the account has as many attempts in flight over all nodes as its plan allows.
     pub fn is_concurrency_exhausted(
         &self,
         request: &QuotaRequest<'_>,
@@ -103,18 +104,18 @@
             .is_some_and(|account| account.is_concurrency_exhausted(request.plan, fleet_mean_latency, now))
     }
 
-    /// Draws a request's units. The first rule that applies decides; the second and third are left out for a
-    /// request that has waited for the counter for as long as it may:
+    /// Draws the units of a request. The first rule that applies decides. Rules 2 and 3 are skipped for a
+    /// request that has waited for the counter for the maximum time, and while the counter is unavailable:
     ///
-    /// 1. The lease covers it: it is granted.
-    /// 2. A call is in flight, or the last total left too little: it waits or is beyond quota.
-    /// 3. The counter is asked about it: it waits. Chance decides which requests ask, so that of all requests
-    ///    only the share asks that the counter's health allows.
-    /// 4. The even share covers it: it is granted.
-    /// 5. A speculative admission is profitable and affordable: it is granted.
-    /// 6. It is beyond quota.
+    /// 1. The lease covers the request: it is granted.
+    /// 2. A call is in flight, or the latest total left too few units: the request waits or is over quota.
+    /// 3. The request is sampled for a call to the counter: it waits. Sampling is random, and limits the
+    ///    share of requests that call to the share that the counter's health allows.
+    /// 4. The even share covers the request: it is granted.
+    /// 5. A speculative admission is profitable and affordable: the request is granted.
+    /// 6. The request is over quota.
     ///
-    /// `fleet_load` is called only once the first two rules have not decided: it examines endpoints.
+    /// `fleet_load` is called only if the first two rules have not decided, because it examines endpoints.
     pub fn draw(
         &mut self,
         settings: &Settings,
@@ -139,26 +140,26 @@
             }
         }
         let assessment = self.speculation.assess(account, request, fleet_load(), now);
-        let ask = self.speculation.ask_probability(&assessment, self.counter_health.ask_share());
-        if counter_is_available && samples_call(&ask, random) {
-            self.ask_counter(settings, now, request, &bucket, &ask, actions);
+        let sampling = self.speculation.call_sampling(&assessment, self.counter_health.call_share());
+        if counter_is_available && samples_call(&sampling, random) {
+            self.call_counter(settings, now, request, &bucket, &sampling, actions);
             return QuotaDecision::Wait;
         }
         self.decide_without_counter(now, request, &bucket, &assessment)
     }
 
-    /// Calls the counter for the units of a request and of those that go first.
-    fn ask_counter(
+    /// Calls the counter for the units of a request and of those that are served before it.
+    fn call_counter(
         &mut self,
         settings: &Settings,
         now: Micros,
         request: &QuotaRequest<'_>,
         bucket: &BucketView,
-        ask: &AskProbability,
+        sampling: &CallSampling,
         actions: &mut Vec<Action>,
     ) {
         let Some(account) = self.accounts.get_mut(&request.account) else { return };
-        account.sampling_weight = ask.sampling_weight;
+        account.sampling_weight = sampling.sampling_weight;
         let needed_units = request.units + bucket.queued_units;
         self.lease(settings, request.account, needed_units, now, actions);
     }
@@ -186,63 +187,65 @@
         QuotaDecision::BeyondQuota
     }
 
-    /// Queues a request until the counter's reply is in.
+    /// Queues a request until the counter's reply arrives.
     pub fn enqueue(&mut self, account: AccountId, request: QueuedRequest) {
         if let Some(account) = self.accounts.get_mut(&account) {
             account.queue.push_back(request);
         }
     }
 
-    /// Takes the next request of the account out of the queue.
+    /// Removes and returns the account's next queued request. Returns `None` if there is none.
     pub fn dequeue(&mut self, account: AccountId) -> Option<QueuedRequest> {
         self.accounts.get_mut(&account)?.queue.pop_front()
     }
 
-    /// Puts a request back to the front of the queue: it has to wait for one more reply.
+    /// Puts a request back at the front of the queue, because it has to wait for one more reply.
     pub fn requeue(&mut self, account: AccountId, request: QueuedRequest) {
         if let Some(account) = self.accounts.get_mut(&account) {
             account.queue.push_front(request);
         }
     }
 
-    /// Takes a request out of the account's queue, wherever it is in it.
+    /// Removes a request from the account's queue, at any position.
     pub fn remove_from_queue(&mut self, account: AccountId, id: &RequestId) {
         if let Some(account) = self.accounts.get_mut(&account) {
             account.queue.retain(|queued| queued.id != *id);
         }
     }
 
-    /// An attempt of the account begins.
+    /// Counts the start of an attempt of the account.
     pub fn attempt_started(&mut self, account: AccountId) {
         if let Some(account) = self.accounts.get_mut(&account) {
             account.attempts_in_flight += 1;
         }
     }
 
-    /// An attempt of the account ended.
+    /// Counts the end of an attempt of the account.
     pub fn attempt_ended(&mut self, account: AccountId) {
         if let Some(account) = self.accounts.get_mut(&account) {
             account.attempts_in_flight = account.attempts_in_flight.saturating_sub(1);
         }
     }
 
-    /// Returns the units of a request that never ran to the lease, and takes it out of the queue.
+    /// Puts the units of a request that never ran back into the lease, and removes the request from the
+    /// queue.
     pub fn return_unused(&mut self, account: AccountId, id: &RequestId, drawn_units: f64) {
-        // A client may use the id again at once: a place left in the queue would send that request twice.
+        // A client may reuse the id immediately. If the entry stayed in the queue, the new request would be
+        // sent twice.
         self.remove_from_queue(account, id);
         if let Some(account) = self.accounts.get_mut(&account) {
             account.lease += drawn_units;
         }
     }
 
-    /// How the account uses its quota here.
+    /// Returns how the account uses its quota at this node, or `None` if the account is not kept.
     pub fn local_use(&self, account: AccountId, now: Micros) -> Option<LocalUse> {
         let account = self.accounts.get(&account)?;
         Some(LocalUse { drawn_rate: account.demand.drawn_rate(now), node_count: account.node_count })
     }
 
-    /// Releases the leases of accounts without requests for longer than `idle_for`, as far as the counter
-    /// can be called.
+    /// Releases the leases of accounts that have had no request for longer than `idle_for`. Does nothing
+    /// while the counter is unavailable.
     pub fn release_idle_leases(
         &mut self,
         settings: &Settings,
@@ -261,15 +264,16 @@
         }
     }
 
-    /// Releases the leases that lie idle, unless the counter service is too busy for it.
+    /// Releases the leases that have been idle for [`lease::LEASE_IDLE_TIMEOUT`], unless the counter service
+    /// is too busy for it.
     pub fn release_unused_leases(&mut self, settings: &Settings, now: Micros, actions: &mut Vec<Action>) {
         if self.counter_health.is_responsive() {
-            self.release_idle_leases(settings, now, lease::LEASE_IDLE, actions);
+            self.release_idle_leases(settings, now, lease::LEASE_IDLE_TIMEOUT, actions);
         }
     }
 
-    /// Forgets accounts that nothing is lost with. There are ever new ones, and what is kept of each would
-    /// grow without end.
+    /// Forgets the accounts that can be forgotten without a loss. New accounts keep arriving, so the retained
+    /// state would otherwise grow without bound.
     pub fn forget_idle_accounts(&mut self, settings: &Settings, now: Micros) {
         self.accounts.retain(|_, account| !account.can_be_forgotten(settings.plans.get(account.plan), now));
     }
@@ -279,8 +283,9 @@
         self.calls.drop_expired(now);
     }
 
-    /// Draws from the lease, if it holds the units and no request waits for them. Refills it ahead of use.
-    /// Returns whether it has drawn.
+    /// Draws a request's units from the lease, if it holds them and no earlier request waits for them. Calls
+    /// the counter for a prefetch if the lease should be refilled ahead of use. Returns whether the units
+    /// were drawn.
     fn draw_from_lease(
         &mut self,
         settings: &Settings,
--- a/src/decision/quota/reconciliation.rs
+++ b/src/decision/quota/reconciliation.rs
@@ -1,31 +1,32 @@
-//! Reconciliation: what a total of the counter says about a call, and what the counter is corrected by.
+//! Reconciliation: what a counter's total says about a call, and how the counter has to be corrected.
 
 use super::account::Account;
 use super::counter_call::CounterCall;
 use super::counter_window::CounterWindow;
 use crate::decision::{AccountId, Micros, Plan};
 
-/// Overflow is corrected from this share of a burst on. Until then it can be spent on top of the burst; each
-/// correction costs a call.
-const OVERFLOW_SHARE: f64 = 0.25;
-/// Totals that differ by this share or less count as equal: the service rounds.
+/// Overflow is corrected if it is at least this share of a burst. A smaller overflow can be spent on top of
+/// the burst, because each correction costs a call.
+const MIN_OVERFLOW_SHARE: f64 = 0.25;
+/// Totals that differ by at most this share count as equal, because the service rounds.
 const TOTAL_PRECISION: f64 = 2e-6;
 
-/// What the counter has to be corrected by after a total.
+/// The correction that the counter needs after a total.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Correction {
-    /// Units that the call added and that are to be released, since they don't fit into the bucket.
+    /// Units that the call added and that do not fit into the bucket. They have to be released.
     pub excess_units: f64,
     /// Units to add to the total because they overflowed; negative to take back a correction that two nodes
     /// made.
     pub overflow_units: f64,
 }
 
-/// Clears up whether a call of unknown outcome was added, now that a total is there.
+/// Determines from a total whether a call of unknown outcome was added.
 ///
-/// What other nodes drew must not be granted here as well. So the call counts as added only if the total
-/// grew by its very amount, and as not added only if it grew by less. Otherwise its units stay with the
-/// counter and nobody gets them, at the expense of an account that has little left.
+/// Units that other nodes drew must not be granted at this node as well. The call therefore counts as added
+/// only if the total grew by its amount, within [`TOTAL_PRECISION`], and as not added only if the total grew
+/// by less. Otherwise its units stay with the counter and no node gets them, at the expense of an account
+/// that has few units left.
 pub(super) fn resolve_unknown_outcome(
     account: &mut Account,
     id: AccountId,
@@ -51,8 +52,8 @@
     call.sampled_units = 0.0;
 }
 
-/// Takes the total after an added call into the account: the draws of other nodes, the bucket's level and the
-/// lease.
+/// Updates the account with the total after an added call: the draws of other nodes, the bucket's level and
+/// the lease. Returns the correction that the counter needs.
 pub(super) fn apply_total(
     account: &mut Account,
     plan: &Plan,
@@ -65,7 +66,7 @@
     let excess_units = grant_lease(account, call);
     let overflow_units = if is_corrected_twice(call, observation.drawn_elsewhere) {
         -call.reported_units
-    } else if observation.is_carried_on {
+    } else if observation.is_carried_forward {
         0.0
     } else {
         overflow_to_correct(plan, observation.level_by_total, call)
@@ -73,7 +74,7 @@
     Correction { excess_units, overflow_units }
 }
 
-/// Adds to the lease what of the call's units fits into the bucket. Returns the rest.
+/// Adds the units of the call that fit into the bucket to the lease. Returns the remaining units.
 fn grant_lease(account: &mut Account, call: &CounterCall) -> f64 {
     let requested = call.lease_units.max(0.0);
     let shortage = (account.bucket.level() + call.sampled_units).min(0.0);
@@ -82,19 +83,19 @@
     requested - granted
 }
 
-/// What flowed over since the window began, once that justifies a call.
+/// Returns the units that overflowed since the window began; 0 if they are too few to justify a call.
 fn overflow_to_correct(plan: &Plan, level_by_total: f64, call: &CounterCall) -> f64 {
     let overflow = level_by_total + call.lease_units - plan.burst_units;
-    if overflow < plan.burst_units * OVERFLOW_SHARE {
+    if overflow < plan.burst_units * MIN_OVERFLOW_SHARE {
         0.0
     } else {
         overflow
     }
 }
 
-/// Whether another node corrected the same overflow: two nodes that see one overflow both correct it, and
-/// the later sees that others added about as much during its call. That the bucket is not full shows
-/// nothing, since the node has just drawn from it.
+/// Returns whether another node corrected the same overflow. If two nodes see the same overflow, both correct
+/// it, and the later one sees that others added about as much during its call. The bucket's level is no
+/// evidence: it is not full after a single correction either, since the node has just drawn from it.
 fn is_corrected_twice(call: &CounterCall, drawn_elsewhere: f64) -> bool {
     call.lease_units == 0.0 && call.reported_units > 0.0 && drawn_elsewhere > call.reported_units / 2.0
 }
--- a/src/decision/quota/replies.rs
+++ b/src/decision/quota/replies.rs
@@ -1,4 +1,4 @@
-//! Replies of the counter service: what they change in an account, and what the service is sent in return.
+//! Handles replies of the counter service: what they change in an account, and which calls follow.
 
 use super::counter_call::{CounterCall, CounterReply};
 use super::counter_calls::{revert_call, Increment};
@@ -9,10 +9,11 @@
 use crate::decision::{AccountId, Action, CounterKey, Micros, Settings};
 
 /// Excess of at most this many units does not justify a call.
-const LEAST_EXCESS: f64 = 0.01;
+const MAX_IGNORED_EXCESS: f64 = 0.01;
 
 impl QuotaLedger {
-    /// Takes in the reply to a call. Returns the account whose queue can be served now.
+    /// Handles the reply to a call. Returns the account whose queue can be served now, or `None` if the call
+    /// or its account is unknown or the counter is read again.
     pub(in crate::decision) fn on_reply(
         &mut self,
         settings: &Settings,
@@ -47,9 +48,10 @@
         Some(id)
     }
 
-    /// Takes in what became of a call that had timed out. A slow counter adds a call though its reply comes
-    /// too late: taken for draws of other nodes, no request could use the units, and the quota would seem
-    /// used up.
+    /// Handles the late result of a call that had timed out.
+    ///
+    /// A slow counter service may add a call although its reply arrives too late. If the call's units were
+    /// attributed to the draws of other nodes, no request could use them, and the quota would seem used up.
     pub(in crate::decision) fn on_late_reply(
         &mut self,
         settings: &Settings,
@@ -62,18 +64,18 @@
         let id = timed_out.account;
         let Some(account) = self.accounts.get_mut(&id) else { return };
         match reply {
-            // The total of a window that is over shows nothing of the present one.
+            // The total of a past window shows nothing about the current one.
             CounterReply::Total(total) if key == CounterWindow::at(id, now).key() => {
                 let correction = self.reconcile(settings, id, timed_out.call, total, now);
                 self.return_late_excess(id, correction.excess_units, now, actions);
             }
             CounterReply::NotAdded => revert_call(account, &timed_out.call),
-            // It is still not known what became of the call.
+            // The result of the call is still unknown.
             _ => {}
         }
     }
 
-    /// Takes the total after an added call into the account. Returns the correction that the counter needs.
+    /// Updates the account with the total after an added call. Returns the correction that the counter needs.
     fn reconcile(
         &mut self,
         settings: &Settings,
@@ -91,16 +93,16 @@
             self.speculation.record_reply(account, is_short, now);
             if is_short {
                 correction.excess_units += call.sampled_units;
-                // A part of a request left over in the lease of each node could add up to all of the burst.
-                // So with the bucket short, units that no waiting request needs are released at once, and
-                // not only when the lease is idle.
+                // Fractions of a request that remain in the leases of many nodes could add up to the whole
+                // burst. If the bucket is short, units that no waiting request needs are therefore released
+                // at once instead of when the lease is idle.
                 correction.excess_units += lease::take_units_unneeded_by_queue(account);
             }
         }
         correction
     }
 
-    /// Calls the counter for a correction, if it justifies a call.
+    /// Calls the counter for a correction, if the correction justifies a call.
     fn send_correction(
         &mut self,
         id: AccountId,
@@ -111,17 +113,17 @@
     ) {
         let Some(account) = self.accounts.get_mut(&id) else { return };
         let overflow_units = correction.overflow_units;
-        let takes_back = overflow_units < 0.0;
-        let corrects = overflow_units > 0.0 && self.counter_health.is_responsive();
-        if correction.excess_units > LEAST_EXCESS {
+        let withdraws_correction = overflow_units < 0.0;
+        let adds_correction = overflow_units > 0.0 && self.counter_health.is_responsive();
+        if correction.excess_units > MAX_IGNORED_EXCESS {
             self.calls.start(id, account, Increment::release(correction.excess_units), now, actions);
-        } else if may_correct_overflow && (takes_back || corrects) {
+        } else if may_correct_overflow && (withdraws_correction || adds_correction) {
             self.calls.start(id, account, Increment::overflow_correction(overflow_units), now, actions);
         }
     }
 
-    /// Returns what a late reply granted beyond the bucket: by a call of its own, or while a call is in
-    /// flight by the one after it.
+    /// Gives back what a late reply granted beyond the bucket: by a call of its own, or by the next call if
+    /// one is in flight.
     fn return_late_excess(
         &mut self,
         id: AccountId,
@@ -132,7 +134,7 @@
         let Some(account) = self.accounts.get_mut(&id) else { return };
         if account.call.is_some() {
             account.unreported_units -= excess_units;
-        } else if excess_units > LEAST_EXCESS {
+        } else if excess_units > MAX_IGNORED_EXCESS {
             self.calls.start(id, account, Increment::release(excess_units), now, actions);
         }
     }
--- a/src/decision/quota/speculation.rs
+++ b/src/decision/quota/speculation.rs
@@ -1,9 +1,9 @@
-//! Speculative admission: whether a request without a lease asks the counter, and whether it is admitted
-//! unasked.
+//! Speculative admission: whether a request without a lease calls the counter, and whether it is admitted
+//! without a call.
 //!
 //! Costs and values are in the unit of the classes' `priority_weight`. Each speculative admission is paid
-//! from a balance that grows by a small share of what is requested: without that bound the gain of many
-//! admissions would hide how much they let through beyond quota.
+//! from a balance that grows by a small share of the requested value. Without this bound, the gain of many
+//! admissions would hide how many units they admit over quota.
 
 use std::collections::BTreeMap;
 
@@ -12,74 +12,75 @@
 use crate::decision::estimators::{DecayingMean, RandomSource};
 use crate::decision::{Micros, Settings};
 
-/// How long the counter's replies are remembered as evidence, in microseconds.
-const EVIDENCE_SPAN: f64 = 15.0e6;
-/// Probability of a short bucket that is assumed before the first reply.
+/// Time constant, in microseconds, with which the counter's replies lose weight as evidence of shortage.
+const SHORTAGE_TIME_CONSTANT: f64 = 15.0e6;
+/// Probability that a bucket is short, assumed before the first reply.
 const SHORTAGE_PRIOR: f64 = 0.3;
-/// What a full fleet adds to the cost of a speculative admission, as a share of the request's value: it
-/// takes the place of other requests.
+/// Cost that a fully loaded fleet adds to a speculative admission, as a share of the request's value. The
+/// request takes the place of other requests.
 const FULL_FLEET_COST: f64 = 0.5;
-/// Weight of a new request in the mean value of asking.
-const MEAN_VALUE_OF_ASKING_GAIN: f64 = 0.02;
-/// A request asks the counter by its value of asking over the mean one, within these bounds.
-const LEAST_RELATIVE_VALUE: f64 = 0.2;
-const GREATEST_RELATIVE_VALUE: f64 = 5.0;
-/// The share of the requested value that speculative admissions may cost. A greater share admits
-/// more requests while the counter is not asked, and lets more through beyond quota.
-const BALANCE_SHARE: f64 = 0.015;
-/// The greatest balance, in requests of the greatest value.
-const BALANCE_LIMIT: f64 = 3.0;
+/// Weight of a new request in the mean value of information.
+const MEAN_VALUE_OF_INFORMATION_GAIN: f64 = 0.02;
+/// The value of information of a request relative to the mean one determines how likely it calls the counter.
+/// The ratio is clamped to these bounds.
+const MIN_RELATIVE_VALUE: f64 = 0.2;
+const MAX_RELATIVE_VALUE: f64 = 5.0;
+/// Share of the requested value that speculative admissions may cost. A greater share admits more requests
+/// while the counter is not called, and admits more units over quota.
+const BALANCE_ACCRUAL_SHARE: f64 = 0.015;
+/// Maximum balance, in requests of one unit and of the greatest value.
+const MAX_BALANCE: f64 = 3.0;
 
-/// What is expected of a request that neither a lease nor the counter's totals decide.
+/// The expected costs of a request that is decided neither by a lease nor by the counter's totals.
 pub(super) struct Assessment {
-    /// What it costs in the mean to decide without asking, whichever way is the better: the expected value
-    /// of the information that the counter has.
-    value_of_asking: f64,
-    /// What it costs in the mean to admit the request without asking.
+    /// Expected cost of a decision without a call, if the better of admitting and rejecting is chosen: the
+    /// expected value of the information that the counter has.
+    value_of_information: f64,
+    /// Expected cost of admitting the request without a call.
     expected_cost: f64,
-    /// Admitting the request without asking earns more in the mean than it costs.
+    /// Whether the expected gain of admitting the request without a call exceeds its cost.
     is_profitable: bool,
 }
 
-/// How likely the counter is asked about a request, and what the call then reports.
-pub(super) struct AskProbability {
+/// How likely a request calls the counter, and how many requests the call represents.
+pub(super) struct CallSampling {
     pub probability: f64,
-    /// How many requests that no call asks for the request represents.
+    /// Number of requests without a call of their own that the call represents.
     pub sampling_weight: f64,
 }
 
 /// Evidence for speculative admissions, and the balance that bounds them.
 pub(super) struct Speculation {
     balance: f64,
-    mean_value_of_asking: f64,
-    /// By plan, the share of the counter's replies that found a bucket short.
+    mean_value_of_information: f64,
+    /// Share of the counter's replies that found a bucket short, 0 to 1, by index of the plan.
     shortage_by_plan: BTreeMap<usize, DecayingMean>,
 }
 
 impl Speculation {
-    /// Starts with the greatest balance: otherwise a new node would admit nobody before its first reply.
+    /// Starts with the maximum balance; otherwise a new node would admit no request before its first reply.
     pub fn new(settings: &Settings) -> Self {
         Speculation {
-            balance: BALANCE_LIMIT * greatest_unit_value(settings),
-            mean_value_of_asking: 0.0,
+            balance: MAX_BALANCE * max_unit_value(settings),
+            mean_value_of_information: 0.0,
             shortage_by_plan: BTreeMap::new(),
         }
     }
 
-    /// Takes a new request's value into the balance.
+    /// Adds a share of a new request's value to the balance.
     pub fn deposit(&mut self, settings: &Settings, request_value: f64) {
-        let limit = BALANCE_LIMIT * greatest_unit_value(settings);
-        self.balance = (self.balance + BALANCE_SHARE * request_value).min(limit);
+        let limit = MAX_BALANCE * max_unit_value(settings);
+        self.balance = (self.balance + BALANCE_ACCRUAL_SHARE * request_value).min(limit);
     }
 
     /// Records whether the counter's reply to a lease found the bucket short.
     pub fn record_reply(&mut self, account: &mut Account, was_short: bool, now: Micros) {
         let sample = if was_short { 1.0 } else { 0.0 };
-        account.shortage.record(now, sample, EVIDENCE_SPAN);
-        self.shortage_by_plan.entry(account.plan).or_default().record(now, sample, EVIDENCE_SPAN);
+        account.shortage.record(now, sample, SHORTAGE_TIME_CONSTANT);
+        self.shortage_by_plan.entry(account.plan).or_default().record(now, sample, SHORTAGE_TIME_CONSTANT);
     }
 
-    /// Assesses a request; `fleet_load` is 0 in an idle fleet and 1 in a full one.
+    /// Assesses a request. `fleet_load` is 0 in an idle fleet and 1 in a full one.
     pub fn assess(
         &mut self,
         account: &Account,
@@ -89,41 +90,45 @@
     ) -> Assessment {
         let plan = request.plan;
         let shortage = self.shortage_probability(account, now);
-        let cost_beyond_quota = plan.over_quota_cost - plan.over_quota_weight;
+        let net_over_quota_cost = plan.over_quota_cost - plan.over_quota_weight;
         let value = plan.weight_factor * request.units * request.priority_weight;
         let cost_of_rejecting = 1.0 - shortage;
-        let cost_of_admitting = shortage * cost_beyond_quota.max(0.0);
-        let value_of_asking = cost_of_rejecting.min(cost_of_admitting) * value;
+        let cost_of_admitting = shortage * net_over_quota_cost.max(0.0);
+        let value_of_information = cost_of_rejecting.min(cost_of_admitting) * value;
         if request.stage == QuotaStage::OnArrival {
-            self.mean_value_of_asking +=
-                (value_of_asking - self.mean_value_of_asking) * MEAN_VALUE_OF_ASKING_GAIN;
+            self.mean_value_of_information +=
+                (value_of_information - self.mean_value_of_information) * MEAN_VALUE_OF_INFORMATION_GAIN;
         }
-        // Where this node's part of a burst holds a request, the even share serves.
+        // If this node's part of the burst holds a mean request, the even share admits requests instead.
         let even_share_is_too_small = plan.burst_units / account.node_count < account.demand.mean_units;
         let has_hard_ceiling = plan.ceiling_units_per_second > 0.0;
-        // In a full fleet what is admitted displaces other requests: doubtful ones are the first to go.
-        let earns_its_cost = cost_of_rejecting > shortage * cost_beyond_quota + fleet_load * FULL_FLEET_COST;
+        // In a full fleet an admitted request displaces others, so doubtful requests are the first to be
+        // rejected.
+        let gain_exceeds_cost =
+            cost_of_rejecting > shortage * net_over_quota_cost + fleet_load * FULL_FLEET_COST;
         Assessment {
-            value_of_asking,
+            value_of_information,
             expected_cost: cost_of_admitting * value,
-            is_profitable: even_share_is_too_small && !has_hard_ceiling && earns_its_cost,
+            is_profitable: even_share_is_too_small && !has_hard_ceiling && gain_exceeds_cost,
         }
     }
 
-    /// How likely the counter is asked: more likely the more it is of use, so that about `ask_share` of all
-    /// requests ask.
-    pub fn ask_probability(&self, assessment: &Assessment, ask_share: f64) -> AskProbability {
-        let relative_value = assessment.value_of_asking / self.mean_value_of_asking.max(1e-9);
-        let odds = ask_share * relative_value.clamp(LEAST_RELATIVE_VALUE, GREATEST_RELATIVE_VALUE);
-        let probability = odds / (1.0 - ask_share + odds);
-        // Those that ask also report what is admitted unasked, as a sample of it.
+    /// Returns how likely the request calls the counter. The probability grows with the value of information;
+    /// about `call_share` of all requests call.
+    pub fn call_sampling(&self, assessment: &Assessment, call_share: f64) -> CallSampling {
+        let relative_value = assessment.value_of_information / self.mean_value_of_information.max(1e-9);
+        let odds = call_share * relative_value.clamp(MIN_RELATIVE_VALUE, MAX_RELATIVE_VALUE);
+        let probability = odds / (1.0 - call_share + odds);
+        // Requests that call also report those that are admitted without a call, as a sample of them.
         let sampling_weight = if assessment.is_profitable { 1.0 / probability - 1.0 } else { 0.0 };
-        AskProbability { probability, sampling_weight }
+        CallSampling { probability, sampling_weight }
     }
 
-    /// Admits a request that is profitable, if the bucket should hold it, and pays for it. Returns whether
-    /// it did. While the counter fails repeatedly nothing better is known and paying would keep nobody's
-    /// quota, so it is free.
+    /// Admits a profitable request if the bucket is expected to hold its units, and pays its expected cost
+    /// from the balance. Returns whether the request was admitted.
+    ///
+    /// While calls to the counter fail repeatedly, the admission is free: no better information is available,
+    /// and payment would protect nobody's quota.
     pub fn try_admit(
         &mut self,
         assessment: &Assessment,
@@ -144,23 +149,24 @@
         is_affordable
     }
 
-    /// How likely the account's bucket is short: by its own replies, and at first by those of its plan.
+    /// Returns the probability that the account's bucket is short. It is based on the replies to the account,
+    /// and initially on those to its plan.
     fn shortage_probability(&self, account: &Account, now: Micros) -> f64 {
         let prior = self
             .shortage_by_plan
             .get(&account.plan)
-            .map_or(SHORTAGE_PRIOR, |shortage| shortage.with_prior(now, SHORTAGE_PRIOR, EVIDENCE_SPAN));
-        account.shortage.with_prior(now, prior, EVIDENCE_SPAN)
+            .map_or(SHORTAGE_PRIOR, |mean| mean.with_prior(now, SHORTAGE_PRIOR, SHORTAGE_TIME_CONSTANT));
+        account.shortage.with_prior(now, prior, SHORTAGE_TIME_CONSTANT)
     }
 }
 
-/// Draws by chance whether the request is in the sample that calls the counter.
-pub(super) fn samples_call(ask: &AskProbability, random: &mut RandomSource) -> bool {
-    random.uniform() < ask.probability
+/// Draws at random whether the request is in the sample that calls the counter.
+pub(super) fn samples_call(sampling: &CallSampling, random: &mut RandomSource) -> bool {
+    random.uniform() < sampling.probability
 }
 
-/// The greatest value of a unit, over all classes and plans.
-fn greatest_unit_value(settings: &Settings) -> f64 {
+/// Returns the greatest value of one unit, over all classes and plans.
+fn max_unit_value(settings: &Settings) -> f64 {
     let priority = settings.classes.iter().map(|class| class.priority_weight).fold(0.0, f64::max);
     priority * settings.plans.iter().map(|plan| plan.weight_factor).fold(0.0, f64::max)
 }
