--- a/tests/counter_backoff.rs
+++ b/tests/counter_backoff.rs
@@ -1,18 +1,18 @@
-//! The pause of calls to the counter after calls that failed.
+//! The pause of calls to the counter service after failed calls.
 
 mod common;
 
 use common::{counter_call, settings_with_quota, CounterCall, NodeUnderTest, MILLISECOND, SAFE, SECOND};
 use edge_node::decision::{AccountId, Action, Event, Micros, NewRequest, Outcome};
 
-/// The longest pause after one failure, and after failures one after another.
+/// Upper bounds of the pause, in microseconds: after one failure, and after many consecutive failures.
 const FIRST_PAUSE: Micros = 50 * MILLISECOND;
 const LONGEST_PAUSE: Micros = 800 * MILLISECOND;
-/// Calls in flight at once, each for an account of its own.
+/// Number of calls that are in flight at once, each for a different account.
 const ACCOUNTS: u64 = 8;
 
-/// An account's first request of one unit.
-fn request_of(node: &mut NodeUnderTest, account: u64) -> Vec<Action> {
+/// Sends an account's first request, of one unit, and returns the actions.
+fn send_first_request(node: &mut NodeUnderTest, account: u64) -> Vec<Action> {
     let request = NewRequest {
         id: format!("of-{account}").as_str().into(),
         account: AccountId(account),
@@ -27,10 +27,10 @@
     node.event(Event::RequestReceived(request))
 }
 
-/// Calls in flight together, one for each account from `first` on.
-fn calls_in_flight(node: &mut NodeUnderTest, first: u64) -> Vec<CounterCall> {
+/// Starts concurrent calls, one for each of [`ACCOUNTS`] accounts from `first` on.
+fn start_calls(node: &mut NodeUnderTest, first: u64) -> Vec<CounterCall> {
     (first..first + ACCOUNTS)
-        .map(|account| counter_call(&request_of(node, account)).expect("a call"))
+        .map(|account| counter_call(&send_first_request(node, account)).expect("a call to the counter"))
         .collect()
 }
 
@@ -41,24 +41,27 @@
 }
 
 #[test]
-fn calls_that_fail_together_count_as_one_failure() {
+fn failures_of_concurrent_calls_count_as_one_failure() {
     let mut node = NodeUnderTest::new(settings_with_quota(), 4);
-    let calls = calls_in_flight(&mut node, 1);
+    let calls = start_calls(&mut node, 1);
     node.advance(30 * MILLISECOND);
     time_out(&mut node, calls);
     node.advance(FIRST_PAUSE);
-    assert!(is_called_for_some(&mut node, 100), "still paused after {FIRST_PAUSE}");
+    assert!(
+        any_request_leads_to_call(&mut node, 100),
+        "expected a call {FIRST_PAUSE} us after concurrent failures, but calls are still paused"
+    );
 }
 
 #[test]
-fn calls_that_fail_one_after_another_pause_for_longer_each_time() {
+fn consecutive_failures_lengthen_the_pause() {
     let mut node = NodeUnderTest::new(settings_with_quota(), 4);
     let mut next_account = 1;
     let mut pauses = Vec::new();
     for _ in 0..8 {
         let paused_at = node.now;
         let call = loop {
-            let call = counter_call(&request_of(&mut node, next_account));
+            let call = counter_call(&send_first_request(&mut node, next_account));
             next_account += 1;
             match call {
                 Some(call) => break call,
@@ -68,13 +71,13 @@
         pauses.push(node.now - paused_at);
         node.end_counter_call(call, Outcome::TimedOut, 0.0);
     }
-    assert_eq!(pauses[0], 0, "no pause before the first failure");
-    assert!(pauses[1] <= FIRST_PAUSE, "{pauses:?}");
-    assert!(pauses[7] >= LONGEST_PAUSE / 2, "{pauses:?}");
+    assert_eq!(pauses[0], 0, "expected no pause before the first failure");
+    assert!(pauses[1] <= FIRST_PAUSE, "the pause after one failure is too long: {pauses:?}");
+    assert!(pauses[7] >= LONGEST_PAUSE / 2, "the pause after seven failures is too short: {pauses:?}");
 }
 
-/// Whether a request of one of these accounts leads to a call: chance decides which of them ask.
-fn is_called_for_some(node: &mut NodeUnderTest, first_account: u64) -> bool {
+/// Returns whether a request of any of these accounts leads to a call. It is random which of them call.
+fn any_request_leads_to_call(node: &mut NodeUnderTest, first_account: u64) -> bool {
     (first_account..first_account + ACCOUNTS)
-        .any(|account| counter_call(&request_of(node, account)).is_some())
+        .any(|account| counter_call(&send_first_request(node, account)).is_some())
 }
--- a/tests/counter_replies.rs
+++ b/tests/counter_replies.rs
@@ -1,10 +1,10 @@
-//! The counter's replies as the RESP2 codec reads them.
+//! Decoding of the counter's replies by the RESP2 codec.
 
 use bytes::BytesMut;
 use edge_node::net::counter::resp::{decode, Reply, ReplyError};
 
 #[test]
-fn complete_replies_are_taken_off_and_partial_ones_are_left() {
+fn complete_replies_are_consumed_and_partial_ones_are_left() {
     let mut buffer = BytesMut::from(&b"$3\r\n2.5\r\n-BUSY later\r\n$1\r\n7"[..]);
     assert_eq!(decode(&mut buffer), Ok(Some(Reply::Total(2.5))));
     assert_eq!(decode(&mut buffer), Ok(Some(Reply::Rejected)));
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn malformed_replies_are_errors_as_soon_as_they_show() {
+fn malformed_replies_are_errors_as_soon_as_they_are_detectable() {
     let malformed: [(&[u8], ReplyError); 10] = [
         (b"?\r\n", ReplyError::UnknownKind),
         (b"\r\n", ReplyError::UnknownKind),
@@ -29,6 +29,6 @@
         (b"HTTP", ReplyError::UnknownKind),
     ];
     for (bytes, error) in malformed {
-        assert_eq!(decode(&mut BytesMut::from(bytes)), Err(error), "{bytes:?}");
+        assert_eq!(decode(&mut BytesMut::from(bytes)), Err(error), "reply {bytes:?}");
     }
 }
--- a/tests/counter_waits.rs
+++ b/tests/counter_waits.rs
@@ -1,4 +1,4 @@
-//! How long a request waits for the counter, whatever becomes of the calls.
+//! How long a request waits for the counter, however the calls to it end.
 
 mod common;
 
@@ -11,10 +11,11 @@
 /// Time-out of a counter call in the settings of these tests.
 const COUNTER_TIMEOUT: Micros = 30 * MILLISECOND;
 const TICK: Micros = 20 * MILLISECOND;
-/// A request has its decision after this long: three time-outs, and the tick that notices.
+/// A request is decided within this time: three time-outs, and the tick that detects the last one.
 const LONGEST_WAIT: Micros = 3 * COUNTER_TIMEOUT + TICK;
 
-/// Ends calls in this way, as many as the node makes without a pause, up to a bound. Returns all actions.
+/// Ends the first call and all that follow it immediately, up to a limit, with `outcome`. Returns all
+/// actions.
 fn end_all_calls(node: &mut NodeUnderTest, first: Option<CounterCall>, outcome: Outcome) -> Vec<Action> {
     let mut all_actions = Vec::new();
     let mut next = first;
@@ -24,15 +25,16 @@
         next = counter_call(&actions);
         all_actions.extend(actions);
     }
-    panic!("calls that end as {outcome:?} are repeated without a pause");
+    panic!("calls that end with {outcome:?} are repeated without a pause");
 }
 
-/// The attempt of a request whose calls to the counter all end like this, each `call_time` after its start.
-fn attempt_by_the_longest_wait(outcome: Outcome, call_time: Micros) -> Option<StartedAttempt> {
+/// Returns the attempt of a request whose counter calls all end with `outcome`, each `call_time` after its
+/// start. Returns `None` if there is no attempt within the longest wait.
+fn attempt_within_longest_wait(outcome: Outcome, call_time: Micros) -> Option<StartedAttempt> {
     let mut node = NodeUnderTest::new(settings_with_quota(), 2);
     let sent_at = node.now;
     let mut call = counter_call(&node.request(SAFE, 1.0).actions);
-    assert!(call.is_some(), "the first request of an account asks the counter");
+    assert!(call.is_some(), "expected the first request of an account to call the counter");
     let mut actions = Vec::new();
     while node.now < sent_at + LONGEST_WAIT {
         if let Some(call) = call.take() {
@@ -61,34 +63,41 @@
         Outcome::NotSent,
     ] {
         for call_time in [MILLISECOND, COUNTER_TIMEOUT] {
-            let attempt = attempt_by_the_longest_wait(outcome, call_time);
-            assert!(attempt.is_some(), "{outcome:?} after {call_time}");
+            let attempt = attempt_within_longest_wait(outcome, call_time);
+            assert!(
+                attempt.is_some(),
+                "expected an attempt; calls end with {outcome:?} after {call_time} us"
+            );
         }
     }
 }
 
 #[test]
-fn request_is_decided_in_time_though_the_end_of_its_call_is_never_reported() {
+fn request_is_decided_in_time_if_the_end_of_its_call_is_never_reported() {
     let mut node = NodeUnderTest::new(settings_with_quota(), 2);
     let actions = node.request(SAFE, 1.0).actions;
     assert!(counter_call(&actions).is_some() && started_attempts(&actions).is_empty());
     node.advance(LONGEST_WAIT);
     assert_eq!(started_attempts(&node.tick()).len(), 1);
-    // It has left the queue: the reply that comes after all serves nobody a second time.
-    let call = counter_call(&actions).expect("a call");
+    // The request has left the queue, so the reply that arrives later does not start a second attempt.
+    let call = counter_call(&actions).expect("a call to the counter");
     let late = node.end_counter_call(call, Outcome::Ok, call.amount);
     assert!(started_attempts(&late).is_empty());
 }
 
 #[test]
-fn calls_whose_connections_are_reset_pause_like_other_failed_calls() {
+fn calls_are_paused_after_connection_resets_and_unreadable_replies() {
     for outcome in [Outcome::Reset, Outcome::Error] {
         let mut node = NodeUnderTest::new(settings_with_quota(), 2);
         let call = counter_call(&node.request(SAFE, 1.0).actions);
         let actions = end_all_calls(&mut node, call, outcome);
-        assert_eq!(started_attempts(&actions).len(), 1, "{outcome:?}: decided by the even share");
+        assert_eq!(
+            started_attempts(&actions).len(),
+            1,
+            "{outcome:?}: expected one attempt, admitted by the even share"
+        );
         let next = node.request(SAFE, 1.0).actions;
-        assert!(counter_call(&next).is_none(), "{outcome:?}: a call during the pause");
-        assert_eq!(started_attempts(&next).len(), 1, "{outcome:?}");
+        assert!(counter_call(&next).is_none(), "{outcome:?}: expected no call during the pause");
+        assert_eq!(started_attempts(&next).len(), 1, "{outcome:?}: expected one attempt during the pause");
     }
 }
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -8,7 +8,8 @@
 };
 use edge_node::decision::{Event, Micros, Outcome, Settings};
 
-/// Sends a request of one unit every 100 ms and completes what is admitted. Returns the units admitted.
+/// Sends a request of one unit every 100 ms for `seconds` and completes those that are admitted. Returns the
+/// units admitted.
 fn send_steadily(node: &mut NodeUnderTest, counter: &mut FakeCounter, seconds: u64) -> f64 {
     let mut admitted_units = 0.0;
     for _ in 0..seconds * 10 {
@@ -23,16 +24,17 @@
     admitted_units
 }
 
-/// Has the counter reply with totals that leave the account's bucket empty.
+/// Ends calls to the counter with totals that leave the account's bucket empty.
 fn exhaust_quota(node: &mut NodeUnderTest) {
-    let first = counter_call(&node.request(SAFE, 1.0).actions).expect("a call");
+    let first = counter_call(&node.request(SAFE, 1.0).actions).expect("a call to the counter");
     let mut actions = node.end_counter_call(first, Outcome::Ok, 500.0);
     while let Some(call) = counter_call(&actions) {
         actions = node.end_counter_call(call, Outcome::Ok, 490.0);
     }
 }
 
-/// Sends requests until one is deferred. Returns its `Retry-After` time.
+/// Sends up to 12 requests until one is deferred. Returns its `Retry-After` time, or `None` if none is
+/// deferred.
 fn first_deferral(node: &mut NodeUnderTest) -> Option<Micros> {
     for _ in 0..12 {
         let deferral = rejection(&node.request(SAFE, 1.0).actions).filter(|&retry_after| retry_after > 0);
@@ -43,8 +45,8 @@
     None
 }
 
-/// Sends so many requests at once while every call to the counter times out. Returns the attempts.
-fn started_while_silent(node: &mut NodeUnderTest, requests: u32) -> Vec<StartedAttempt> {
+/// Sends this many requests at once while every call to the counter times out. Returns the attempts.
+fn attempts_during_counter_timeouts(node: &mut NodeUnderTest, requests: u32) -> Vec<StartedAttempt> {
     let mut attempts = Vec::new();
     for _ in 0..requests {
         let mut actions = node.request(SAFE, 1.0).actions;
@@ -57,7 +59,7 @@
     attempts
 }
 
-/// Settings in which spacings are short enough for several deferrals.
+/// Settings with spacings that are short enough for several deferrals.
 fn settings_with_fast_quota() -> Settings {
     let mut settings = settings_with_quota();
     settings.plans[0].quota_units_per_second = 12.0;
@@ -96,7 +98,7 @@
     send_steadily(&mut node, &mut counter, 20);
     counter.flush();
     let units = send_steadily(&mut node, &mut counter, 5);
-    assert!(units <= 2.0 * 5.0 + 4.0, "{units} units in 5 s after the flush");
+    assert!(units <= 2.0 * 5.0 + 4.0, "{units} units admitted in 5 s after the flush, expected at most 14");
 }
 
 #[test]
@@ -111,21 +113,21 @@
 }
 
 #[test]
-fn silent_counter_leaves_the_even_share() {
+fn unresponsive_counter_limits_admission_to_the_even_share() {
     let mut node = NodeUnderTest::new(settings_with_quota(), 4);
-    let call = counter_call(&node.request(SAFE, 1.0).actions).expect("a call");
+    let call = counter_call(&node.request(SAFE, 1.0).actions).expect("a call to the counter");
     let actions = node.end_counter_call(call, Outcome::TimedOut, 0.0);
-    assert_eq!(started_attempts(&actions).len(), 1, "the even share admits it");
+    assert_eq!(started_attempts(&actions).len(), 1, "expected one attempt, admitted by the even share");
     let mut admitted = 1;
     for _ in 0..200 {
         node.advance(MILLISECOND / 10);
         admitted += started_attempts(&node.request(SAFE, 1.0).actions).len();
     }
-    assert!(admitted <= 4, "{admitted} units at once, the even share of the burst is 4");
+    assert!(admitted <= 4, "{admitted} units admitted at once, the even share of the burst is 4");
 }
 
 #[test]
-fn silent_counter_leaves_the_even_share_of_the_attempts_in_flight() {
+fn unresponsive_counter_limits_attempts_in_flight_to_the_even_share() {
     let mut settings = settings_with_quota();
     settings.plans[0].max_in_flight = 6;
     settings.plans[0].quota_units_per_second = 100.0;
@@ -137,8 +139,9 @@
     for _ in 0..20 {
         node.advance(SECOND);
         node.tick();
-        let attempts = started_while_silent(&mut node, 10);
-        // The totals before the silence show that nobody else has attempts in flight, but not for long.
+        let attempts = attempts_during_counter_timeouts(&mut node, 10);
+        // For a short time, the totals from before the time-outs still show that no other node has attempts
+        // in flight.
         if node.now >= 110 * SECOND {
             most_in_flight = most_in_flight.max(attempts.len());
         }
@@ -146,20 +149,23 @@
             node.complete(attempt);
         }
     }
-    assert!((1..=2).contains(&most_in_flight), "{most_in_flight} at once, the even share of 6 is 2");
+    assert!(
+        (1..=2).contains(&most_in_flight),
+        "{most_in_flight} attempts in flight at most, expected 1 or 2: the even share of 6 is 2"
+    );
 }
 
 #[test]
 fn units_beyond_the_bucket_are_released() {
     let mut node = NodeUnderTest::new(settings_with_quota(), 4);
-    let call = counter_call(&node.request(SAFE, 1.0).actions).expect("a call");
+    let call = counter_call(&node.request(SAFE, 1.0).actions).expect("a call to the counter");
     let actions = node.end_counter_call(call, Outcome::Ok, call.amount + 1.0 * 12.0 + 2.0 * 60.0);
-    let release = counter_call(&actions).expect("a release");
+    let release = counter_call(&actions).expect("a call that releases units");
     assert!(release.amount < 0.0);
 }
 
 #[test]
-fn deferrals_are_spaced_and_bounded_and_a_retry_gets_none() {
+fn deferrals_are_spaced_and_bounded_and_a_retry_is_not_deferred() {
     let mut node = NodeUnderTest::new(settings_with_fast_quota(), 4);
     exhaust_quota(&mut node);
     let mut retry_afters = Vec::new();
@@ -167,24 +173,32 @@
         retry_afters.extend(rejection(&node.request(SAFE, 1.0).actions));
     }
     let deferrals: Vec<Micros> = retry_afters.iter().copied().filter(|&time| time > 0).collect();
-    assert!(deferrals.len() >= 2, "{retry_afters:?}");
-    assert!(deferrals.windows(2).all(|pair| pair[1] > pair[0]), "each after the latest: {retry_afters:?}");
-    assert_eq!(*retry_afters.last().expect("rejections"), 0, "no time beyond D: {retry_afters:?}");
+    assert!(deferrals.len() >= 2, "expected at least 2 deferrals: {retry_afters:?}");
+    assert!(
+        deferrals.windows(2).all(|pair| pair[1] > pair[0]),
+        "expected each deferral after the previous one: {retry_afters:?}"
+    );
+    assert_eq!(
+        *retry_afters.last().expect("at least one rejection"),
+        0,
+        "expected no `Retry-After` time beyond the bound D on outstanding deferrals: {retry_afters:?}"
+    );
     node.advance(deferrals[0] + MILLISECOND);
     let retry = node.retry(SAFE, 12.0);
     assert!(rejection(&retry.actions).is_none_or(|retry_after| retry_after == 0));
 }
 
 #[test]
-fn rejection_has_no_time_where_the_spacing_is_beyond_the_horizon() {
-    // The spacing is 6 units over 2/3 a second, 9 s: longer than a burst takes and than clients follow.
+fn rejection_has_no_retry_after_if_the_spacing_exceeds_the_horizon() {
+    // The spacing is 6 units at 2/3 units per second, which is 9 s: longer than a burst takes to refill and
+    // than the longest `Retry-After` time that clients follow.
     let mut node = NodeUnderTest::new(settings_with_quota(), 4);
     exhaust_quota(&mut node);
     assert_eq!(rejection(&node.request(SAFE, 6.0).actions), Some(0));
 }
 
 #[test]
-fn rejection_has_no_time_where_the_settings_forbid_it() {
+fn rejection_has_no_retry_after_if_the_settings_forbid_it() {
     let mut settings = settings_with_quota();
     settings.limits.retry_after_allowed = false;
     let mut node = NodeUnderTest::new(settings, 4);
@@ -193,7 +207,7 @@
 }
 
 #[test]
-fn unusual_settings_have_a_defined_behaviour() {
+fn request_is_decided_or_calls_the_counter_under_unusual_settings() {
     for change in 0..5 {
         let mut settings = settings_with_quota();
         match change {
@@ -208,7 +222,10 @@
         let is_decided = started_attempts(&actions).len() == 1
             || rejection(&actions).is_some()
             || counter_call(&actions).is_some();
-        assert!(is_decided, "change {change}: {actions:?}");
+        assert!(
+            is_decided,
+            "change {change}: expected an attempt, a rejection or a counter call, got {actions:?}"
+        );
     }
 }
 
@@ -230,13 +247,13 @@
 }
 
 #[test]
-fn retry_through_another_node_runs_if_units_remain_and_is_else_rejected_without_a_time() {
+fn retry_at_another_node_runs_if_units_remain_and_is_otherwise_rejected_without_retry_after() {
     let mut first = NodeUnderTest::new(settings_with_fast_quota(), 4);
     exhaust_quota(&mut first);
-    assert!(first_deferral(&mut first).is_some(), "deferred at the first node");
+    assert!(first_deferral(&mut first).is_some(), "expected a deferral at the first node");
     let mut other = NodeUnderTest::new(settings_with_fast_quota(), 4);
     let call = counter_call(&other.retry(SAFE, 1.0).actions)
-        .expect("the other node does not know of the deferral and calls for units");
+        .expect("a call for units by the other node, which does not know of the deferral");
     assert_eq!(started_attempts(&other.end_counter_call(call, Outcome::Ok, call.amount)).len(), 1);
     let mut exhausted = NodeUnderTest::new(settings_with_fast_quota(), 4);
     exhaust_quota(&mut exhausted);
@@ -246,16 +263,18 @@
 
 #[test]
 fn shutdown_releases_leases_once() {
-    // The lease of a node that ends would be lost to the account until the window ends.
+    // If a node kept its lease at shutdown, the units would be lost to the account until the end of the
+    // window.
     let mut node = NodeUnderTest::new(settings_with_quota(), 4);
     let mut counter = FakeCounter::default();
     let request = node.request(SAFE, 1.0);
-    let lease = counter_call(&request.actions).expect("a lease");
+    let lease = counter_call(&request.actions).expect("a call for a lease");
     assert_eq!(started_attempts(&counter.reply_to_all(&mut node, request.actions)).len(), 1);
     node.advance(MILLISECOND);
-    let release = counter_call(&node.event(Event::ShutdownStarted)).expect("the rest is released");
+    let release = counter_call(&node.event(Event::ShutdownStarted))
+        .expect("a call that releases the rest of the lease");
     assert_eq!(release.amount, 1.0 - lease.amount);
-    assert_eq!(counter_call(&node.event(Event::ShutdownStarted)), None, "released once");
+    assert_eq!(counter_call(&node.event(Event::ShutdownStarted)), None, "expected no second release");
 }
 
 #[test]
@@ -267,7 +286,11 @@
     };
     let before_restart = first_deferral_of_new_node();
     assert!(before_restart.is_some());
-    assert_eq!(first_deferral_of_new_node(), before_restart, "two deferrals may fall on the same time");
+    assert_eq!(
+        first_deferral_of_new_node(),
+        before_restart,
+        "expected the same time after a restart: the schedule is lost, so two deferrals may coincide"
+    );
 }
 
 #[test]
@@ -281,7 +304,7 @@
         let mut counter = FakeCounter::default();
         units += send_steadily(&mut node, &mut counter, 2);
     }
-    assert!(units <= 20.4 + 3.4 * 6.0, "{units} units over three restarts; the ceiling allows 40.8");
+    assert!(units <= 20.4 + 3.4 * 6.0, "{units} units admitted over three restarts, the ceiling allows 40.8");
 }
 
 /// Sends a request of one unit and completes it if it is admitted. Returns the units admitted.
@@ -297,62 +320,80 @@
 #[test]
 fn overflow_of_an_account_with_few_requests_is_not_spent_on_top_of_the_burst() {
     let mut counter = FakeCounter::default();
-    // Half of its rate for a while: the bucket stays full, and a unit a second flows over.
-    let mut slow_node = NodeUnderTest::new(settings_with_quota(), 4);
+    // The account uses half of its rate for 11 s: the bucket stays full, and one unit per second overflows.
+    let mut first_node = NodeUnderTest::new(settings_with_quota(), 4);
     for _ in 0..11 {
-        slow_node.advance(SECOND);
-        send_and_complete(&mut slow_node, &mut counter);
+        first_node.advance(SECOND);
+        send_and_complete(&mut first_node, &mut counter);
     }
-    // Then all at once, through nodes that know nothing of it.
+    // Then all requests arrive at once, at nodes that have seen none of the earlier requests.
     let mut admitted = 0;
     for _ in 0..6 {
         let mut node = NodeUnderTest::new(settings_with_quota(), 4);
-        node.now = slow_node.now;
+        node.now = first_node.now;
         for _ in 0..10 {
             admitted += send_and_complete(&mut node, &mut counter);
         }
     }
-    // What the slow node has leased ahead of use is granted, too.
-    slow_node.advance(MILLISECOND);
-    let release = counter_call(&slow_node.event(Event::ShutdownStarted));
+    // Units that the first node has leased ahead of use count as granted, too.
+    first_node.advance(MILLISECOND);
+    let release = counter_call(&first_node.event(Event::ShutdownStarted));
     let idle_lease = -release.map_or(0.0, |call| call.amount);
     let granted = admitted as f64 + idle_lease;
-    assert!((11.0..=16.0).contains(&granted), "{admitted} admitted and {idle_lease} leased of a burst of 12");
+    assert!(
+        (11.0..=16.0).contains(&granted),
+        "{admitted} units admitted and {idle_lease} leased of a burst of 12, expected 11 to 16"
+    );
 }
 
 #[test]
-fn late_counter_reply_leaves_the_units_with_the_node() {
+fn late_counter_reply_grants_its_units_to_the_node() {
     let mut node = NodeUnderTest::new(settings_with_quota(), 4);
     let mut counter = FakeCounter::default();
-    let call = counter_call(&node.request(SAFE, 1.0).actions).expect("a call");
-    assert!(call.amount > 2.0, "{} is no block", call.amount);
+    let call = counter_call(&node.request(SAFE, 1.0).actions).expect("a call to the counter");
+    assert!(call.amount > 2.0, "the call leases {} units, expected a block of more than 2", call.amount);
     let total = counter.add(call.key, call.amount);
     node.advance(30 * MILLISECOND);
     let actions = node.end_counter_call(call, Outcome::TimedOut, 0.0);
-    assert_eq!(started_attempts(&actions).len(), 1, "the even share admits it");
+    assert_eq!(started_attempts(&actions).len(), 1, "expected one attempt, admitted by the even share");
     node.advance(10 * MILLISECOND);
     let late_reply = Event::LateCounterReply { key: call.key, outcome: Outcome::Ok, total };
-    assert_eq!(counter_call(&node.event(late_reply.clone())), None, "all of it fits");
+    assert_eq!(
+        counter_call(&node.event(late_reply.clone())),
+        None,
+        "expected no release, since all leased units fit into the bucket"
+    );
     for _ in 0..call.amount as usize {
         let actions = node.request(SAFE, 1.0).actions;
-        assert_eq!(started_attempts(&actions).len(), 1, "leased, and known by now");
+        assert_eq!(
+            started_attempts(&actions).len(),
+            1,
+            "expected one attempt, covered by the lease of the late reply"
+        );
     }
-    assert!(node.event(late_reply).is_empty(), "a second reply belongs to no call");
+    assert!(
+        node.event(late_reply).is_empty(),
+        "expected no actions, since a second reply belongs to no call"
+    );
     node.advance(10 * SECOND);
-    let next_call = counter_call(&node.request(SAFE, 1.0).actions).expect("a call");
-    assert!(next_call.amount > 1.5, "{} does not report the unit of the even share", next_call.amount);
+    let next_call = counter_call(&node.request(SAFE, 1.0).actions).expect("a call to the counter");
+    assert!(
+        next_call.amount > 1.5,
+        "the call adds {} units, expected more than 1.5 with the unit of the even share",
+        next_call.amount
+    );
 }
 
 #[test]
-fn late_replies_of_past_windows_and_of_calls_not_added_grant_nothing() {
+fn late_replies_of_past_windows_or_of_calls_not_added_grant_nothing() {
     for (outcome, delay) in [(Outcome::Ok, 40 * SECOND), (Outcome::Rejected, 0), (Outcome::Reset, 0)] {
         let mut node = NodeUnderTest::new(settings_with_quota(), 4);
-        let call = counter_call(&node.request(SAFE, 1.0).actions).expect("a call");
+        let call = counter_call(&node.request(SAFE, 1.0).actions).expect("a call to the counter");
         node.end_counter_call(call, Outcome::TimedOut, 0.0);
         node.advance(delay);
         node.event(Event::LateCounterReply { key: call.key, outcome, total: call.amount });
         node.advance(SECOND);
         let release = counter_call(&node.event(Event::ShutdownStarted));
-        assert_eq!(release, None, "{outcome:?}: a lease to release");
+        assert_eq!(release, None, "{outcome:?}: expected no lease to release");
     }
 }
