--- a/src/decision/action.rs
+++ b/src/decision/action.rs
@@ -1,61 +1,61 @@
-//! What a node does about an event: the outputs of the decisions.
+//! The actions of a node: the outputs of the decisions.
 
 use super::identifiers::{CounterKey, EndpointId, Micros, RequestId};
 
-/// An action of a node.
+/// What a node has to do after an event.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send the request to an endpoint.
+    /// Sends a request to an endpoint.
     StartAttempt {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// The endpoint.
+        /// The endpoint that gets the request.
         endpoint: EndpointId,
         /// Time limit of the attempt; 0 means until the request's deadline.
         timeout: Micros,
     },
-    /// Final response: rejected; a retry by the client is harmless.
+    /// Sends the final response that the request is rejected. A retry by the client is harmless.
     Reject {
-        /// The request.
+        /// The rejected request.
         request: RequestId,
-        /// When the client should come back, from now; 0 means no advice.
+        /// Time from now after which the client should retry; 0 means that the client gets no such advice.
         retry_after: Micros,
     },
-    /// Final response: failed, and the request may have run.
+    /// Sends the final response that the request failed. The request may have run.
     Fail {
-        /// The request.
+        /// The failed request.
         request: RequestId,
     },
-    /// Cancel an attempt.
+    /// Cancels an attempt.
     CancelAttempt {
-        /// The request.
+        /// The request that the attempt is for.
         request: RequestId,
         /// The number of the attempt within its request, from 0.
         attempt_number: u32,
     },
-    /// Probe an endpoint.
+    /// Probes an endpoint.
     ProbeEndpoint {
-        /// The endpoint.
+        /// The endpoint to probe.
         endpoint: EndpointId,
     },
-    /// Add to a counter at the counter service.
+    /// Adds to a counter at the counter service.
     IncrementCounter {
-        /// The counter.
+        /// The counter to add to.
         key: CounterKey,
         /// Units to add; negative to give units back.
         amount: f64,
-        /// How long the service keeps a counter that this call creates.
+        /// How long the service keeps the counter if this call creates it.
         keep_for: Micros,
     },
-    /// Start a timer.
+    /// Starts a timer.
     SetTimer {
-        /// The timer's number.
+        /// The timer's number, which [`Event::TimerFired`](super::Event::TimerFired) returns.
         id: u64,
-        /// When it fires, from now.
+        /// Time from now until the timer fires.
         after: Micros,
     },
-    /// Fetch the whole endpoint list once.
+    /// Fetches the whole endpoint list once.
     FetchEndpoints,
-    /// Start to watch the endpoint list.
+    /// Starts to watch the endpoint list.
     WatchEndpoints,
 }
--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: the rules for a new request, in the order in which they apply.
+//! Admission control: the rules for a new request, in the order in which they apply.
 
 use std::collections::BTreeMap;
 
@@ -9,27 +9,32 @@
     shortest_latency_objective, LoadShedder, GREATEST_SHED_THRESHOLD, LEAST_SHED_THRESHOLD,
 };
 use super::quota::{QueuedRequest, QuotaDecision, QuotaRequest, QuotaStage};
-use super::{AccountId, Action, DecisionEngine, Micros, NewRequest, Plan, RequestId, Settings, TICK};
+use super::{
+    AccountId, Action, DecisionEngine, Micros, NewRequest, Plan, RequestId, Settings, TICK_INTERVAL,
+};
 
-/// A class whose late responses earn at least this share of its weight is served late, too.
+/// A retry that cannot meet its latency objective is still served if late responses of its class earn at
+/// least this share of the weight.
 const LEAST_LATE_WEIGHT: f64 = 0.5;
-/// A request waits for the counter for so many of its time-outs at most: a call, its reread, and one more.
+/// Longest wait of a request for the counter, in multiples of the counter's timeout: one for a call, one for
+/// its reread, and one more.
 const LONGEST_COUNTER_WAIT_TIMEOUTS: u64 = 3;
-/// Timeouts of a client count as the same if they differ by less than the timeout divided by this number.
+/// Two timeouts of a client count as equal if they differ by less than the timeout divided by this number.
 const TIMEOUT_TOLERANCE_DIVISOR: u64 = 50;
 
-/// What the load of the fleet says about a new request.
+/// Whether a new request is shed because of the load of the fleet.
 enum LoadDecision {
-    /// The fleet has room for it.
+    /// The fleet has capacity for the request.
     Admit,
-    /// It is shed.
+    /// The request is shed.
     Shed {
-        /// When the client should come back, from now; none if it gets no such advice.
+        /// Time from now after which the client should retry; `None` if it gets no such advice.
         retry_after: Option<Micros>,
     },
 }
 
-/// How long clients wait for one request, by class, as the latest request that was no retry showed.
+/// How long clients wait for one request, in microseconds by class. The latest request that is not a retry
+/// determines the value.
 #[derive(Default)]
 pub(super) struct ClientTimeouts {
     by_class: BTreeMap<usize, Micros>,
@@ -42,7 +47,8 @@
         }
     }
 
-    /// Whether a request with so much time left has about all the time that its client gives a first request.
+    /// Returns whether `remaining` is about all the time that clients give a first request of the class.
+    /// Returns `false` if no first request of the class is known.
     fn is_full_timeout(&self, class: usize, remaining: Micros) -> bool {
         self.by_class
             .get(&class)
@@ -51,14 +57,15 @@
 }
 
 impl DecisionEngine {
-    /// Decides about a new request. The first rule that applies decides:
+    /// Decides on a new request. The first rule that applies decides:
     ///
-    /// 1. Its class is unknown or its id that of a pending request: it is ignored.
-    /// 2. The fleet is too full for it: it is shed, with a time to come back unless it is a retry.
-    /// 3. It comes too late to earn its weight or to get a response at all: it is rejected.
-    /// 4. The quotas grant it: it is sent to an endpoint.
-    /// 5. The quotas need a reply of the counter: it waits.
-    /// 6. It is beyond quota: it is served all the same where that earns more than it costs, else deferred.
+    /// 1. If its class is unknown or its id is that of a pending request, it is ignored.
+    /// 2. If the fleet is too loaded for it, it is shed, with a `Retry-After` time unless it is a retry.
+    /// 3. If it arrives too late to earn its weight or to get a response at all, it is rejected.
+    /// 4. If the quotas grant it, it is sent to an endpoint.
+    /// 5. If the quotas need a reply of the counter, it waits.
+    /// 6. Otherwise it is beyond quota: it is served if that earns more than it costs and the fleet has room
+    ///    for it, else it is deferred.
     pub(super) fn on_request(&mut self, mut request: NewRequest, actions: &mut Vec<Action>) {
         if request.class >= self.settings.classes.len() || self.pending.contains(&request.id) {
             return;
@@ -83,7 +90,8 @@
         }
     }
 
-    /// Decides about the requests of an account that waited for the counter, in their order.
+    /// Decides on the requests of an account that wait for the counter, in the order of the queue. Stops
+    /// at the first request that has to wait for another reply.
     pub(super) fn serve_queue(&mut self, account: AccountId, actions: &mut Vec<Action>) {
         while let Some(queued) = self.quota.dequeue(account) {
             self.set_waits_for_counter(&queued.id, false);
@@ -109,8 +117,8 @@
         }
     }
 
-    /// Decides without the counter about the requests that have waited for it for as long as they may,
-    /// whatever has become of the calls.
+    /// Decides without the counter on the requests that have waited for it for as long as they may,
+    /// regardless of the state of the calls.
     pub(super) fn end_overdue_counter_waits(&mut self, actions: &mut Vec<Action>) {
         for id in self.overdue_counter_waits() {
             let Some(pending) = self.pending.get(&id) else { continue };
@@ -134,20 +142,26 @@
         overdue.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Decides by the load of the fleet. A retry is shed without a time to come back.
+    /// Decides by the load of the fleet whether to shed a request. A retry is shed without a `Retry-After`
+    /// time.
     fn decide_by_load(&self, request: &NewRequest) -> LoadDecision {
         let time_until_admission =
             self.load_shedder.time_until_admission(&self.settings, &self.balancer, request, self.now);
         let Some(time_until_admission) = time_until_admission else { return LoadDecision::Admit };
         let limits = &self.settings.limits;
         let advises_retry = limits.retry_after_allowed && !request.is_retry;
-        let longest = limits.max_retry_after.max(TICK);
-        LoadDecision::Shed { retry_after: advises_retry.then(|| time_until_admission.clamp(TICK, longest)) }
+        let longest = limits.max_retry_after.max(TICK_INTERVAL);
+        LoadDecision::Shed {
+            retry_after: advises_retry.then(|| time_until_admission.clamp(TICK_INTERVAL, longest)),
+        }
     }
 
-    /// Whether a retry can no longer earn its weight: the time since the client's first request, counted
-    /// back from when it stops waiting, leaves too little of the latency objective. If the client gives each
-    /// retry as much time as a first request, this can't be known, and the retry is let pass.
+    /// Returns whether a retry can no longer earn its weight: the time that has passed since the client's
+    /// first request leaves too little of the latency objective.
+    ///
+    /// The time that has passed is computed from the deadline, as the class's total timeout minus the time
+    /// that remains. If the client gives each retry as much time as a first request, it cannot be computed,
+    /// and this rule does not apply to the retry.
     fn cannot_meet_objective(&self, request: &NewRequest) -> bool {
         let class = &self.settings.classes[request.class];
         let remaining = request.deadline.saturating_sub(self.now);
@@ -158,13 +172,13 @@
             && elapsed + self.balancer.fleet_mean_latency() / 2.0 > class.latency_objective as f64
     }
 
-    /// Whether the client stops waiting before any response could come.
+    /// Returns whether the client stops waiting before any response could arrive.
     fn cannot_meet_deadline(&self, request: &NewRequest) -> bool {
-        self.now + TICK + self.balancer.fleet_mean_latency() as Micros / 4 > request.deadline
+        self.now + TICK_INTERVAL + self.balancer.fleet_mean_latency() as Micros / 4 > request.deadline
     }
 
-    /// Applies the quotas to a request, in this order: attempts in flight, then units. What has no plan or
-    /// a plan without a quota of units is granted without a draw.
+    /// Applies the quotas to a request: first the quota of attempts in flight, then the quota of units. A
+    /// request without a known plan, or with a plan without a quota of units, is granted without a draw.
     fn decide_by_quota(
         &mut self,
         id: &RequestId,
@@ -186,7 +200,7 @@
         self.quota.draw(&self.settings, now, &mut self.random, &request, fleet_load, actions)
     }
 
-    /// Admits a request within quota.
+    /// Admits a request within quota, for which `drawn_units` were drawn.
     fn admit(&mut self, id: &RequestId, drawn_units: f64, actions: &mut Vec<Action>) {
         if let Some(pending) = self.pending.get_mut(id) {
             pending.drawn_units = drawn_units;
@@ -194,8 +208,8 @@
         self.dispatch_admitted(id, actions);
     }
 
-    /// A request beyond quota is served where it earns more than it costs and there is room, else it is
-    /// deferred.
+    /// Serves a request beyond quota if it earns more than it costs and the fleet has room for it. Otherwise
+    /// defers it.
     fn handle_beyond_quota(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.get(id) else { return };
         let Some(plan) = self.settings.plans.get(pending.request.plan) else { return };
@@ -210,8 +224,8 @@
         }
     }
 
-    /// Rejects a request beyond quota, with a time to come back if the schedule has room for one. A retry
-    /// gets none.
+    /// Rejects a request beyond quota, with a `Retry-After` time if the deferral schedule has room for one. A
+    /// retry is rejected without a `Retry-After` time.
     fn defer(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.pending.get(id).map(|pending| &pending.request) else { return };
         let Some(terms) = self.deferral_terms(request) else { return };
@@ -229,11 +243,11 @@
         } else {
             DeferralTerms::for_concurrency_quota(plan, self.balancer.fleet_mean_latency(), &local_use)
         };
-        Some(terms.within(self.settings.limits.max_retry_after))
+        Some(terms.with_horizon_up_to(self.settings.limits.max_retry_after))
     }
 }
 
-/// The units that a request counts: not negative, and 1 if the client's number is not finite.
+/// Returns the units that a request is counted with: at least 0, and 1 if the client's number is not finite.
 fn countable_units(units: f64) -> f64 {
     if units.is_finite() {
         units.max(0.0)
@@ -242,7 +256,7 @@
     }
 }
 
-/// The request as the quotas see it; none if its plan is not in the settings.
+/// Returns the request in the form that the quotas use. Returns `None` if its plan is not in the settings.
 fn quota_request<'a>(
     request: &NewRequest,
     stage: QuotaStage,
@@ -257,13 +271,14 @@
     })
 }
 
-/// Whether the plan's requests beyond quota earn more than they cost. Never under a hard ceiling.
+/// Returns whether the plan's requests beyond quota earn more than they cost. Returns `false` for a plan with
+/// a hard ceiling.
 fn is_profitable_beyond_quota(plan: &Plan) -> bool {
     plan.over_quota_weight > plan.over_quota_cost && plan.ceiling_units_per_second <= 0.0
 }
 
-/// How full the fleet is: the expected response time over the one at which the most valuable requests are
-/// shed, 1 at most.
+/// Returns the load of the fleet, from 0 to 1: the expected response time divided by the response time at
+/// which requests of the greatest weight are shed.
 fn fleet_load(load_shedder: &LoadShedder, settings: &Settings, balancer: &Balancer, now: Micros) -> f64 {
     let shedding_latency = (shortest_latency_objective(settings) * GREATEST_SHED_THRESHOLD).max(1.0);
     (load_shedder.expected_response_time(settings, balancer, now) / shedding_latency).min(1.0)
--- a/src/decision/attempts/completion.rs
+++ b/src/decision/attempts/completion.rs
@@ -1,12 +1,13 @@
-//! The end of an attempt: what is recorded, and whether the request is done, sent again, rejected or failed.
+//! The end of an attempt: what is recorded, and whether the request is finished, sent again, rejected or
+//! failed.
 
 use super::pending_request::Attempt;
 use crate::decision::balancer::{EndedAttemptSample, Selection};
 use crate::decision::{Action, DecisionEngine, EndedAttempt, EndpointId, Outcome};
 
 impl DecisionEngine {
-    /// Takes in the end of an attempt, in this order: the request takes note of it, then its account, then
-    /// the balancer and the load shedder; then the request is finished, sent again, rejected or failed.
+    /// Handles the end of an attempt. It is recorded for the request, then for the account, the balancer and
+    /// the load shedder, in this order. Then the request is finished, sent again, rejected or failed.
     ///
     /// An event about an attempt that is not in flight is ignored.
     pub(in crate::decision) fn on_attempt_ended(&mut self, end: &EndedAttempt, actions: &mut Vec<Action>) {
@@ -15,7 +16,7 @@
         let needs_no_response = pending.needs_no_response;
         let sample = ended_attempt_sample(&attempt, end, pending.request.class, pending.request.plan);
         self.quota.attempt_ended(pending.request.account);
-        // The balancer keeps an endpoint as long as an attempt at it is in flight.
+        // The balancer keeps an endpoint for as long as an attempt at it is in flight.
         let Some(recorded) = self.balancer.attempt_ended(self.now, &sample) else { return };
         if let Some(response_time) = recorded.typical_response_time {
             self.load_shedder.record_response_time(self.now, response_time);
@@ -29,9 +30,11 @@
         }
     }
 
-    /// Selects an endpoint for another attempt, if there may be one: not that of the failed attempt, unless
-    /// there is no other. An attempt that was not sent is not repeated: the node itself could not or must not
-    /// send it.
+    /// Selects an endpoint for another attempt. The endpoint of the failed attempt is selected only if there
+    /// is no other. Returns `None` if the request may not be sent again or no endpoint can take it.
+    ///
+    /// An attempt that was not sent is not repeated, since the node itself could not send it or was not
+    /// allowed to.
     fn select_for_retry(&mut self, end: &EndedAttempt, failed: EndpointId) -> Option<Selection> {
         let pending = self.pending.get(&end.request)?;
         if end.outcome == Outcome::NotSent || !self.retry_policy().allows_retry(pending) {
--- a/src/decision/attempts/final_response.rs
+++ b/src/decision/attempts/final_response.rs
@@ -1,15 +1,15 @@
-//! Final responses of requests that are not served, and what is left to do once a request has its response.
+//! Final responses to requests that are not served, and the cleanup once a request has its final response.
 
 use super::pending_request::PendingRequest;
 use crate::decision::{
     Action, DecisionEngine, DeduplicationScope, Idempotency, Micros, RequestClass, RequestId,
 };
 
-/// What [`Action::Reject`] carries for a rejection without a time to come back.
+/// The value in [`Action::Reject`] of a rejection without a `Retry-After` time.
 const NO_RETRY_AFTER: Micros = 0;
 
 impl DecisionEngine {
-    /// Ends a request that cannot be served: rejects it where a retry by the client is harmless, else fails
+    /// Ends a request that cannot be served: rejects it if a retry by the client is harmless, otherwise fails
     /// it.
     pub(in crate::decision) fn reject_or_fail(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.get(id) else { return };
@@ -21,8 +21,8 @@
         }
     }
 
-    /// Rejects a request. `retry_after` is when the client should come back, from now, if it gets such
-    /// advice.
+    /// Rejects a request. `retry_after` is the time from now after which the client should retry; `None` if
+    /// it gets no such advice.
     pub(in crate::decision) fn reject(
         &mut self,
         id: &RequestId,
@@ -40,8 +40,8 @@
         self.finish_request(id);
     }
 
-    /// Finishes a request that needs no response any more: it has its final one, or nobody waits for it. It
-    /// stays pending until its attempt has ended.
+    /// Finishes a request that needs no response any more: it has its final response, or nobody waits for it.
+    /// If an attempt is in flight, the request stays pending until the attempt has ended.
     pub(in crate::decision) fn finish_request(&mut self, id: &RequestId) {
         let Some(pending) = self.pending.get_mut(id) else { return };
         pending.needs_no_response = true;
@@ -54,22 +54,23 @@
         }
     }
 
-    /// Returns the units of a request that never ran, and takes it out of the requests that wait for the
-    /// counter or for an endpoint.
+    /// Returns the units of a request that never ran to its account, and removes the request from those that
+    /// wait for the counter or for an endpoint.
     fn return_unused(&mut self, id: &RequestId) {
         let Some(pending) = self.pending.get(id) else { return };
         self.quota.return_unused(pending.request.account, id, pending.drawn_units);
-        // Also where the account is forgotten: a request that waits for an endpoint does not keep it.
+        // This is needed even if the account's state was dropped: a request that waits for an endpoint does
+        // not keep its account.
         self.pending.stop_waiting_for_endpoint(id);
     }
 }
 
-/// Whether the request can't take effect twice if the client sends it again: it never ran, it is safe, or all
-/// endpoints drop its repeats for as long as the client may send them.
+/// Returns whether the request can't take effect twice if the client sends it again: it never ran, it is
+/// safe, or all endpoints drop its repeats for as long as the client may send them.
 ///
-/// `RetryPolicy::is_safe_to_repeat` has the rule for the node's own retries. It differs for keyed requests:
-/// the node sends its retry within the deduplication scope and knows when. A client's retry may reach any
-/// endpoint, and come at any time until the client stops waiting.
+/// The rule for the node's own retries is `RetryPolicy::is_safe_to_repeat`. The rules differ for keyed
+/// requests: the node sends its retry within the deduplication scope and knows when it does so. A client's
+/// retry may reach any endpoint at any time until the client stops waiting.
 fn is_client_retry_harmless(pending: &PendingRequest, class: &RequestClass) -> bool {
     let Some(possible_run) = pending.first_possible_run else { return true };
     match class.idempotency {
--- a/src/decision/attempts/mod.rs
+++ b/src/decision/attempts/mod.rs
@@ -1,6 +1,7 @@
-//! Attempts: how a request is sent to an endpoint. `retry_policy` says whether it may be sent again,
-//! `completion` what follows when an attempt ends, `final_response` what the client gets when it is not
-//! served.
+//! Attempts: how a request is sent to an endpoint.
+//!
+//! `retry_policy` decides whether a request may be sent again. `completion` handles the end of an attempt.
+//! `final_response` chooses the response to a client whose request is not served.
 
 mod completion;
 mod final_response;
@@ -14,7 +15,7 @@
 pub(super) use retry_policy::RetryBudget;
 use retry_policy::RetryPolicy;
 
-/// An attempt to be cancelled, since its endpoint is stuck.
+/// An attempt that is to be cancelled, since its endpoint does not respond.
 struct StuckAttempt {
     request: RequestId,
     attempt_number: u32,
@@ -22,13 +23,14 @@
 }
 
 impl DecisionEngine {
-    /// Sends a newly admitted request to an endpoint, or has it wait for one.
+    /// Sends a newly admitted request to an endpoint, or makes it wait for one. Also reports the request to
+    /// the balancer, so it is called once per request.
     pub(super) fn dispatch_admitted(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         self.dispatch(id, actions);
         self.balancer.request_launched();
     }
 
-    /// Sends a request to an endpoint, or has it wait until one can take it.
+    /// Sends a request to an endpoint, or makes it wait until an endpoint can take it.
     pub(super) fn dispatch(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         match self.select_endpoint(id, None) {
             Some(selection) => self.start_attempt(id, selection, actions),
@@ -36,8 +38,9 @@
         }
     }
 
-    /// Cancels attempts at endpoints that answer nobody, for longer than the fleet ever needs, if the
-    /// requests may be sent again: the end of the cancelled attempt leads to the next one.
+    /// Cancels the attempts that have been in flight for longer than the fleet needs, at endpoints that are
+    /// ejected or answer no request, if the requests may be sent again. The endpoints are ejected. The end of
+    /// a cancelled attempt leads to the next attempt of its request.
     pub(super) fn cancel_stuck_attempts(&mut self, actions: &mut Vec<Action>) {
         for stuck in self.find_stuck_attempts() {
             self.balancer.eject(stuck.endpoint, self.now);
@@ -76,13 +79,13 @@
 
     fn select_endpoint(&mut self, id: &RequestId, exclude: Option<EndpointId>) -> Option<Selection> {
         let pending = self.pending.get(id)?;
-        let wanted = SelectionRequest {
+        let selection_request = SelectionRequest {
             class: pending.request.class,
             plan: pending.request.plan,
             first_possible_run: pending.first_possible_run.map(|attempt| attempt.placement),
             exclude,
         };
-        self.balancer.select(&self.settings, self.now, &mut self.random, &wanted)
+        self.balancer.select(&self.settings, self.now, &mut self.random, &selection_request)
     }
 
     fn start_attempt(&mut self, id: &RequestId, selection: Selection, actions: &mut Vec<Action>) {
--- a/src/decision/attempts/pending_request.rs
+++ b/src/decision/attempts/pending_request.rs
@@ -1,4 +1,4 @@
-//! The requests that have no final response yet, or whose attempt is still in flight.
+//! The pending requests: those without a final response, and those whose attempt is still in flight.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,35 +9,35 @@
 #[derive(Clone, Copy)]
 pub(in crate::decision) struct Attempt {
     pub endpoint: EndpointId,
-    /// Zone and cell of the endpoint: a repeat may have to stay there when the endpoint is not known any
-    /// more.
+    /// Zone and cell of the endpoint. A repeat may have to stay within them even if the endpoint is no longer
+    /// known.
     pub placement: Placement,
     pub sent_at: Micros,
 }
 
-/// The state of a request.
+/// The state of a pending request.
 pub(in crate::decision) struct PendingRequest {
-    /// What the client sent, with a finite number of units.
+    /// The request as the client sent it, except that its number of units is finite and at least 0.
     pub request: NewRequest,
     pub arrived_at: Micros,
     /// Units drawn from the account's quota.
     pub drawn_units: f64,
-    /// How many attempts began.
+    /// Number of attempts that have started.
     pub attempts: u32,
-    /// The attempt that is in flight: never two at once.
+    /// The attempt that is in flight. A request never has two at once.
     pub in_flight: Option<Attempt>,
-    /// The first attempt that may have run.
+    /// The first ended attempt that may have run.
     pub first_possible_run: Option<Attempt>,
-    /// It is in its account's queue for the reply of the counter.
+    /// Whether the request is in its account's queue for the reply of the counter.
     pub waits_for_counter: bool,
-    /// The request has its final response, or nobody waits for it.
+    /// Whether the request has its final response or nobody waits for it.
     pub needs_no_response: bool,
-    /// A part of the response was sent to the client.
+    /// Whether a part of the response was sent to the client.
     pub response_started: bool,
 }
 
 impl PendingRequest {
-    /// A request that arrives now.
+    /// Creates the state of a request that arrives at `now`.
     pub fn new(request: NewRequest, now: Micros) -> Self {
         PendingRequest {
             request,
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Takes in the end of the attempt that is in flight. Returns that attempt; none if the event is about
-    /// another one.
+    /// Records the end of the attempt that is in flight and returns that attempt. Returns `None` if the event
+    /// is about another attempt.
     pub fn end_attempt(&mut self, end: &EndedAttempt) -> Option<Attempt> {
         let is_latest = self.attempts.checked_sub(1) == Some(end.attempt_number);
         let attempt = self.in_flight.take_if(|_| is_latest)?;
@@ -69,8 +69,8 @@
 #[derive(Default)]
 pub(in crate::decision) struct PendingRequests {
     by_id: BTreeMap<RequestId, PendingRequest>,
-    /// Requests that wait for an endpoint that can take them.
-    without_endpoint: VecDeque<RequestId>,
+    /// Requests that wait for an endpoint that can take them, in the order in which they began to wait.
+    waiting_for_endpoint: VecDeque<RequestId>,
 }
 
 impl PendingRequests {
@@ -86,7 +86,7 @@
         self.by_id.get_mut(id)
     }
 
-    /// All requests in the order of their ids.
+    /// Returns all requests in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (&RequestId, &PendingRequest)> {
         self.by_id.iter()
     }
@@ -99,18 +99,18 @@
         self.by_id.remove(id);
     }
 
-    /// Has a request wait for an endpoint.
+    /// Adds a request to those that wait for an endpoint.
     pub fn wait_for_endpoint(&mut self, id: RequestId) {
-        self.without_endpoint.push_back(id);
+        self.waiting_for_endpoint.push_back(id);
     }
 
-    /// Takes out all requests that wait for an endpoint, in the order of their arrival.
+    /// Removes and returns all requests that wait for an endpoint, in the order in which they began to wait.
     pub fn take_waiting_for_endpoint(&mut self) -> VecDeque<RequestId> {
-        std::mem::take(&mut self.without_endpoint)
+        std::mem::take(&mut self.waiting_for_endpoint)
     }
 
-    /// Takes a request out of those that wait for an endpoint.
+    /// Removes a request from those that wait for an endpoint.
     pub fn stop_waiting_for_endpoint(&mut self, id: &RequestId) {
-        self.without_endpoint.retain(|waiting| waiting != id);
+        self.waiting_for_endpoint.retain(|waiting| waiting != id);
     }
 }
--- a/src/decision/deferral.rs
+++ b/src/decision/deferral.rs
@@ -1,5 +1,5 @@
-//! The deferral schedule (DSRT in docs/design.md): requests beyond quota are rejected with times to come
-//! back that are spaced apart.
+//! The deferral schedule (DSRT in docs/design.md): requests beyond quota are rejected with `Retry-After`
+//! times that are spaced apart.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,19 +7,20 @@
 use super::quota::LocalUse;
 use super::{AccountId, Micros, Plan};
 
-/// The most deferrals of an account that are outstanding at once: D of the paper.
+/// Maximum number of outstanding deferrals of one account: D in the DSRT paper.
 const MAX_OUTSTANDING: usize = 16;
 
-/// The deferrals of this node's accounts that are outstanding: promised and not yet due.
+/// The outstanding deferrals of this node's accounts: their clients were given a time that is not yet due.
 #[derive(Default)]
 pub(super) struct DeferralSchedule {
-    /// When the clients are to come back, the earliest first.
+    /// Times at which the clients should retry, the earliest first.
     outstanding: BTreeMap<AccountId, VecDeque<Micros>>,
 }
 
 impl DeferralSchedule {
-    /// Defers a request to one spacing after the account's latest deferral. Returns the time from now until
-    /// then; none if as many deferrals are outstanding as the terms allow.
+    /// Defers a request to one spacing after the account's latest outstanding deferral, or after `now` if it
+    /// has none. Returns the time from `now` until then. Returns `None` if the account has as many
+    /// outstanding deferrals as the terms allow.
     pub fn defer(&mut self, account: AccountId, terms: &DeferralTerms, now: Micros) -> Option<Micros> {
         let outstanding = self.outstanding.entry(account).or_default();
         outstanding.retain(|&due_at| due_at > now);
@@ -31,21 +32,25 @@
         Some(due_at - now)
     }
 
-    /// Forgets the deferrals of all accounts but those that are kept.
+    /// Drops the deferrals of the accounts for which `is_kept` returns `false`.
     pub fn retain_accounts(&mut self, is_kept: impl Fn(AccountId) -> bool) {
         self.outstanding.retain(|&account, _| is_kept(account));
     }
 }
 
-/// How far apart deferrals are, and how far ahead they may reach. Both in microseconds.
+/// The terms by which the deferrals of one account are scheduled.
 pub(super) struct DeferralTerms {
+    /// Time between two deferrals, in microseconds.
     spacing: f64,
+    /// How far in the future deferrals may be, in microseconds.
     horizon: f64,
 }
 
 impl DeferralTerms {
-    /// The terms for a request of a plan with a quota of units: it comes back once its units have been
-    /// drawn anew, and within the time in which a burst refills.
+    /// Returns the terms for a request of a plan with a quota of units.
+    ///
+    /// The spacing is the time in which this node draws the request's units again, at its recent rate or at
+    /// its even share of the quota, whichever is greater. The horizon is the time in which a burst refills.
     pub fn for_unit_quota(plan: &Plan, units: f64, local_use: &LocalUse) -> Self {
         let quota_rate = plan.quota_units_per_second;
         let drawn_rate = local_use.drawn_rate.max(quota_rate / local_use.node_count);
@@ -55,8 +60,10 @@
         }
     }
 
-    /// The terms for a request of a plan that only limits its attempts in flight: it comes back once one of
-    /// this node's slots is free.
+    /// Returns the terms for a request of a plan that only limits its attempts in flight.
+    ///
+    /// The spacing is the mean time until one of this node's slots is free. `fleet_mean_latency` is in
+    /// microseconds.
     pub fn for_concurrency_quota(plan: &Plan, fleet_mean_latency: f64, local_use: &LocalUse) -> Self {
         let local_slots = (plan.max_in_flight as f64 / local_use.node_count).max(1.0);
         DeferralTerms {
@@ -65,8 +72,8 @@
         }
     }
 
-    /// Keeps the deferrals within the longest time that clients follow.
-    pub fn within(self, max_retry_after: Micros) -> Self {
+    /// Limits the horizon to `max_retry_after`, the longest time that clients follow.
+    pub fn with_horizon_up_to(self, max_retry_after: Micros) -> Self {
         DeferralTerms { horizon: self.horizon.min(max_retry_after as f64), ..self }
     }
 
--- a/src/decision/estimators/decaying_mean.rs
+++ b/src/decision/estimators/decaying_mean.rs
@@ -1,11 +1,12 @@
-//! A mean that forgets the past exponentially.
+//! A mean with exponential decay.
 
 use super::{DecayingRate, MICROS_PER_SECOND};
 use crate::decision::Micros;
 
-/// Mean of samples, each of which weighs less by a factor of e for each time constant that passes; the time
-/// constant is given in microseconds and is the same in all calls. Of samples that are 1 for a failure and 0
-/// for a success it is the share of failures.
+/// Mean of samples whose weights decay by a factor of e for each time constant that passes.
+///
+/// The time constant is in microseconds and must be the same in all calls. If a sample is 1 for a failure and
+/// 0 for a success, the mean is the share of failures.
 #[derive(Clone, Copy, Default)]
 pub(in crate::decision) struct DecayingMean {
     weight: DecayingRate,
@@ -19,12 +20,13 @@
         self.sum.record(now, sample * time_constant / MICROS_PER_SECOND, time_constant);
     }
 
-    /// The mean at `now`, with `prior` as one further sample: without samples it is the prior.
+    /// Returns the mean at `now`, with `prior` as one additional sample of full weight. Without other samples
+    /// it is `prior`.
     pub fn with_prior(&self, now: Micros, prior: f64, time_constant: f64) -> f64 {
         (self.sum.per_second(now, time_constant) + prior) / (self.weight(now, time_constant) + 1.0)
     }
 
-    /// How many samples of `now` those recorded weigh as much as.
+    /// Returns the total weight of the samples at `now`. A sample recorded at `now` has the weight 1.
     pub fn weight(&self, now: Micros, time_constant: f64) -> f64 {
         self.weight.per_second(now, time_constant)
     }
--- a/src/decision/estimators/decaying_rate.rs
+++ b/src/decision/estimators/decaying_rate.rs
@@ -1,10 +1,12 @@
-//! A rate that forgets the past exponentially.
+//! A rate with exponential decay.
 
 use super::MICROS_PER_SECOND;
 use crate::decision::Micros;
 
-/// Rate of what was recorded, in units per second. A recorded amount fades by a factor of e for each time
-/// constant that passes; the time constant is given in microseconds and is the same in all calls.
+/// Rate of recorded amounts, in units per second. The contribution of an amount decays by a factor of e for
+/// each time constant that passes.
+///
+/// The time constant is in microseconds and must be the same in all calls.
 #[derive(Clone, Copy, Default)]
 pub(in crate::decision) struct DecayingRate {
     per_second: f64,
@@ -12,7 +14,7 @@
 }
 
 impl DecayingRate {
-    /// The rate at `now`, in units per second.
+    /// Returns the rate at `now`, in units per second.
     pub fn per_second(&self, now: Micros, time_constant: f64) -> f64 {
         self.per_second * (-(now.saturating_sub(self.recorded_at) as f64) / time_constant).exp()
     }
--- a/src/decision/estimators/mod.rs
+++ b/src/decision/estimators/mod.rs
@@ -1,4 +1,4 @@
-//! Rates, means and token buckets over given time, and the random numbers of a node.
+//! Rates, means and token buckets whose callers supply the time, and the random number generator of a node.
 
 mod decaying_mean;
 mod decaying_rate;
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -1,71 +1,71 @@
-//! What happens to a node: the inputs of the decisions.
+//! The events at a node: the inputs of the decisions.
 
 use super::identifiers::{AccountId, CounterKey, EndpointId, Micros, RequestId};
 
 /// The state of an endpoint on the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum EndpointState {
-    /// In service.
+    /// The endpoint is in service.
     #[default]
     Active,
-    /// Finishes its work and takes no more.
+    /// The endpoint finishes its current requests and accepts no new ones.
     Draining,
-    /// Not in service any more.
+    /// The endpoint is no longer in service.
     Removed,
 }
 
 /// An entry of the endpoint list.
 #[derive(Debug, Clone, Default)]
 pub struct EndpointEntry {
-    /// The endpoint.
+    /// The endpoint that the entry describes.
     pub id: EndpointId,
-    /// Its zone.
+    /// Identifies the zone that the endpoint is in.
     pub zone: u32,
-    /// Its kind of machine. Not used by the decisions.
+    /// Identifies the endpoint's machine kind. Not used by the decisions.
     pub machine_kind: u32,
-    /// Its cell.
+    /// Identifies the cell that the endpoint is in.
     pub cell: u32,
-    /// Its state.
+    /// Whether the endpoint is in service.
     pub state: EndpointState,
-    /// Its capacity relative to other endpoints; 1 where the list has none.
+    /// Capacity relative to other endpoints; 1 if the list has no weight for the endpoint.
     pub weight: f64,
-    /// When it last started; 0 if that was long ago.
+    /// Time of the endpoint's latest start; 0 if that was long ago.
     pub started_at: Micros,
 }
 
-/// What an update of the endpoint list holds.
+/// What an update of the endpoint list contains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointUpdateKind {
     /// Only the entries that changed.
     Delta,
-    /// The whole list: an endpoint that is missing has been removed.
+    /// The whole list. An endpoint that is missing from it has been removed.
     Snapshot,
     /// The whole list as this node last had it, which may be out of date.
     StaleSnapshot,
-    /// Nothing: a call failed or the watch was interrupted.
+    /// No entries: a call failed or the watch was interrupted.
     WatchLost,
 }
 
-/// A request of a client.
+/// A request that a client sent.
 #[derive(Debug, Clone)]
 pub struct NewRequest {
-    /// Its id.
+    /// The id of the request.
     pub id: RequestId,
-    /// The account that it is charged to.
+    /// The account that the request is charged to.
     pub account: AccountId,
-    /// Index of its class in the settings.
+    /// Index of the request's class in the settings.
     pub class: usize,
-    /// Index of its plan in the settings.
+    /// Index of the request's plan in the settings.
     pub plan: usize,
-    /// Units of quota that it uses.
+    /// Units of quota that the request uses.
     pub units: f64,
-    /// The first of the nodes that get the account's requests.
+    /// Index of the first of the nodes that receive the account's requests. Not used by the decisions.
     pub first_account_node: u32,
-    /// How many nodes get the account's requests.
+    /// How many nodes receive the account's requests.
     pub account_node_count: u32,
-    /// The client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// When the client stops waiting for this request.
+    /// Time at which the client stops waiting for this request.
     pub deadline: Micros,
 }
 
@@ -74,24 +74,24 @@
 pub enum Outcome {
     /// It succeeded.
     Ok,
-    /// An error response; the request may have run.
+    /// It got an error response. The request may have run.
     Error,
-    /// Rejected before it ran.
+    /// It was rejected before it ran.
     Rejected,
-    /// No response in time; it may have run.
+    /// It got no response in time. The request may have run.
     TimedOut,
-    /// No connection could be established; it did not run.
+    /// No connection could be established. The request did not run.
     ConnectFailed,
-    /// The connection was reset; it may have run.
+    /// The connection was reset. The request may have run.
     Reset,
-    /// Cancelled by the node; it may have run.
+    /// The node cancelled it. The request may have run.
     Cancelled,
-    /// The node itself could not or must not send it; it did not run.
+    /// The node could not send it or was not allowed to. The request did not run.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether an attempt that ended like this may have run at its endpoint.
+    /// Returns whether an attempt with this outcome may have run at its endpoint.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
@@ -104,67 +104,67 @@
     pub request: RequestId,
     /// The number of the attempt within its request, from 0.
     pub attempt_number: u32,
-    /// The endpoint that it was sent to.
+    /// The endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub elapsed: Micros,
     /// Whether the request has its final response.
     pub request_completed: bool,
-    /// The true units, where they are known only now. Not used by the decisions.
+    /// The actual units of the request, if they are known only at its end. Not used by the decisions.
     pub final_units: Option<f64>,
 }
 
 /// An event at a node.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// The endpoint list, or a change of it, arrived.
+    /// The endpoint list or a change of the list arrived.
     EndpointsUpdated {
-        /// What the entries are.
+        /// What the entries represent.
         kind: EndpointUpdateKind,
-        /// The entries.
+        /// The entries of the update; empty with `WatchLost`.
         entries: Vec<EndpointEntry>,
     },
     /// A client sent a request.
     RequestReceived(NewRequest),
     /// The first part of a streamed response was sent to the client.
     ResponseStarted {
-        /// The request.
+        /// The request that is being answered.
         request: RequestId,
     },
     /// An attempt ended.
     AttemptEnded(EndedAttempt),
     /// Nobody waits for the response any more: the client disconnected or its deadline has passed.
     ClientDisconnected {
-        /// The request.
+        /// The request whose response is no longer needed.
         request: RequestId,
     },
     /// A call to the counter service ended.
     CounterReplied {
-        /// The counter.
+        /// The counter that was called.
         key: CounterKey,
         /// How the call ended: `Ok`, `Rejected`, `ConnectFailed`, `TimedOut`, `Error` (the reply was
         /// malformed) or `Reset` (the connection broke).
         outcome: Outcome,
-        /// The counter's total after the call, in units; valid with `Ok`.
+        /// The counter's total after the call, in units. Valid only with `Ok`.
         total: f64,
     },
-    /// What became of a call that was reported as timed out. The events for one key come in the order of its
-    /// calls, and before the end of any later call.
+    /// The result of a call that was previously reported as timed out. Late replies for one key arrive in the
+    /// order of the calls, and each arrives before the end of any later call.
     LateCounterReply {
-        /// The counter.
+        /// The counter that was called.
         key: CounterKey,
-        /// `Ok`, `Rejected` or `ConnectFailed`; with any other outcome what became of the call is unknown.
+        /// `Ok`, `Rejected` or `ConnectFailed`. With any other outcome the result of the call is unknown.
         outcome: Outcome,
-        /// The counter's total after the call, in units; valid with `Ok`.
+        /// The counter's total after the call, in units. Valid only with `Ok`.
         total: f64,
     },
     /// A probe ended.
     ProbeCompleted {
-        /// The endpoint.
+        /// The endpoint that was probed.
         endpoint: EndpointId,
-        /// How it ended.
+        /// How the probe ended.
         outcome: Outcome,
     },
     /// A timer fired.
@@ -172,6 +172,6 @@
         /// The timer's number.
         id: u64,
     },
-    /// Graceful shutdown started: the listener is closed; requests on open connections may still arrive.
+    /// Graceful shutdown started. The listener is closed, but requests may still arrive on open connections.
     ShutdownStarted,
 }
--- a/src/decision/identifiers.rs
+++ b/src/decision/identifiers.rs
@@ -2,10 +2,11 @@
 
 use std::sync::Arc;
 
-/// Microseconds: a point on the node's clock (names that end in `_at`, and `deadline`) or a span of time.
+/// Time in microseconds. A name that ends in `_at`, or `deadline`, is a point on the node's clock; any other
+/// value is a duration.
 pub type Micros = u64;
 
-/// Identifies a request; the decisions return it unchanged.
+/// Identifies a request. The decisions return it unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub Arc<str>);
 
@@ -15,7 +16,7 @@
     }
 }
 
-/// Identifies an endpoint, an app server that discovery names. The same at every node.
+/// Identifies an endpoint, which is an app server that discovery lists. All nodes use the same value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct EndpointId(pub u64);
 
@@ -23,6 +24,6 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct AccountId(pub u64);
 
-/// The key of one counter at the counter service.
+/// Identifies one counter at the counter service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CounterKey(pub u64);
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,13 +1,14 @@
-//! The decisions of one edge node: which request is admitted, deferred or rejected, and which endpoint gets
-//! it.
+//! The decisions of one edge node: whether a request is admitted, deferred or rejected, and which endpoint
+//! it is sent to.
 //!
-//! [`DecisionEngine`] takes events with the time and returns actions. It opens no socket and reads no
-//! clock. `event`, `action` and `settings` have the types it speaks. The ordinary path is DSRT
-//! (docs/design.md): a request within its account's quota draws on this node's lease and goes to an
-//! endpoint; beyond the quota it is rejected with a spaced `Retry-After` time.
+//! [`DecisionEngine`] takes events, each with its time, and returns actions. It opens no socket and reads no
+//! clock. The modules `event`, `action` and `settings` define its input and output types. The normal path of
+//! a request follows DSRT (docs/design.md): a request within its account's quota draws units from this node's
+//! lease and is sent to an endpoint. A request beyond the quota is rejected with a `Retry-After` time; these
+//! times are spaced apart.
 //!
-//! Each part has its own state, and the engine passes values between them. Reading order: this file,
-//! `admission`, `quota`, `deferral`, `attempts`, `balancer`, `load_shedding`; `estimators` serve them all.
+//! Each submodule has its own state, and the engine passes values between them. Reading order: this file,
+//! `admission`, `quota`, `deferral`, `attempts`, `balancer`, `load_shedding`. All of them use `estimators`.
 
 mod action;
 mod admission;
@@ -36,21 +37,21 @@
 use load_shedding::LoadShedder;
 use quota::{CounterReply, QuotaLedger};
 
-/// Period of the housekeeping.
-const TICK: Micros = 20_000;
-/// Period in which idle leases are released and what is not needed any more is forgotten.
+/// Interval between two runs of the housekeeping.
+const TICK_INTERVAL: Micros = 20_000;
+/// Interval between two sweeps, which release idle leases and drop state that is no longer needed.
 const SWEEP_INTERVAL: Micros = 500_000;
 
-/// The decisions of one node.
+/// The state machine that makes the decisions of one node.
 pub struct DecisionEngine {
     settings: Settings,
-    /// The node's seeded random numbers.
+    /// The node's random number generator.
     random: RandomSource,
     /// The time of the latest event.
     now: Micros,
-    /// The first event has come, and with it the timer of the housekeeping was set.
+    /// Whether the first event was handled. The timer of the housekeeping is set with that event.
     has_started: bool,
-    /// When the latest sweep ran.
+    /// The time of the latest sweep.
     swept_at: Micros,
     shutdown_started: bool,
     quota: QuotaLedger,
@@ -62,26 +63,28 @@
     load_shedder: LoadShedder,
 }
 
-/// How many entries a node keeps state of.
+/// The number of entries that a node currently keeps state of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetainedEntries {
-    /// Accounts.
+    /// Accounts with state.
     pub accounts: usize,
-    /// Endpoints, listed or not.
+    /// Endpoints with state, whether or not they are on the endpoint list.
     pub endpoints: usize,
 }
 
-/// Work done since the start.
+/// Counts of the work that a node has done since it was created.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WorkCounters {
-    /// How often an endpoint was examined, for requests and ticks.
+    /// How often an endpoint was examined, for requests and for ticks.
     pub endpoints_examined: u64,
     /// How many entries of the endpoint list differed from what was known.
     pub entries_changed: u64,
 }
 
 impl DecisionEngine {
-    /// A node at its start. It knows no endpoints until the first list comes.
+    /// Creates the engine of a node that starts. It knows no endpoints until the first list arrives.
+    ///
+    /// `seed` determines all random numbers that the node draws.
     pub fn new(seed: u64, settings: Settings) -> Self {
         DecisionEngine {
             random: RandomSource::from_seed(seed),
@@ -100,8 +103,9 @@
         }
     }
 
-    /// Takes one event at the time `now` and appends what is to be done. Time never runs backwards: an
-    /// earlier `now` counts as that of the latest event.
+    /// Handles one event at the time `now` and appends the resulting actions to `actions`.
+    ///
+    /// Time never runs backwards: if `now` is before the time of the latest event, that time is used instead.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if !self.has_started {
@@ -122,12 +126,12 @@
             }
             Event::TimerFired { .. } => self.on_tick(actions),
             Event::ShutdownStarted => self.on_shutdown_started(actions),
-            // Endpoints are judged by the attempts at them alone.
+            // Only attempts determine the health of an endpoint.
             Event::ProbeCompleted { .. } => {}
         }
     }
 
-    /// How many accounts and endpoints the node keeps state of.
+    /// Returns the number of accounts and endpoints that the node keeps state of.
     pub fn retained_entries(&self) -> RetainedEntries {
         RetainedEntries {
             accounts: self.quota.account_count(),
@@ -135,7 +139,7 @@
         }
     }
 
-    /// The work done since the start.
+    /// Returns the counts of the work done since the engine was created.
     pub fn work_counters(&self) -> WorkCounters {
         self.balancer.work_counters()
     }
@@ -143,7 +147,7 @@
     fn start(&mut self, actions: &mut Vec<Action>) {
         self.has_started = true;
         self.load_shedder.start(self.now);
-        actions.push(Action::SetTimer { id: 0, after: TICK });
+        actions.push(Action::SetTimer { id: 0, after: TICK_INTERVAL });
     }
 
     fn on_endpoints_updated(
@@ -154,8 +158,9 @@
     ) {
         let polls = self.settings.polls_endpoint_list;
         if kind == EndpointUpdateKind::StaleSnapshot || (kind == EndpointUpdateKind::WatchLost && polls) {
-            // A list from before a restart names endpoints that have failed since and lacks those that are
-            // warming up. Where the list is polled, a watch that was lost has to be started again.
+            // A list from before a restart contains endpoints that have failed since then and lacks those
+            // that are warming up, so the current list is requested. If the list is polled, a lost watch has
+            // to be started again.
             actions.push(if polls { Action::WatchEndpoints } else { Action::FetchEndpoints });
         }
         if kind == EndpointUpdateKind::WatchLost {
@@ -180,8 +185,8 @@
         }
     }
 
-    /// Releases all leases. The listener is closed; requests on open connections may still arrive. From
-    /// here on units that no waiting request needs are released as they are granted.
+    /// Releases all leases. The listener is closed, but requests may still arrive on open connections. From
+    /// now on, units that no waiting request needs are released as soon as they are granted.
     fn on_shutdown_started(&mut self, actions: &mut Vec<Action>) {
         self.shutdown_started = true;
         self.release_all_leases(actions);
@@ -191,11 +196,16 @@
         self.quota.release_idle_leases(&self.settings, self.now, 0, actions);
     }
 
-    /// Housekeeping, in this order: the load is sampled, requests that have waited too long for the counter
-    /// are decided without it, requests without an endpoint are tried again, stuck attempts are cancelled,
-    /// unresponsive endpoints are ejected. The sweep of leases and memory follows less often.
+    /// Runs the housekeeping and sets its timer again. The steps, in this order:
+    ///
+    /// 1. The load is sampled.
+    /// 2. Requests that have waited too long for the counter are decided without it.
+    /// 3. Requests that wait for an endpoint are dispatched again.
+    /// 4. Stuck attempts are cancelled.
+    /// 5. Unresponsive endpoints are ejected.
+    /// 6. Leases and state are swept, but only once per [`SWEEP_INTERVAL`].
     fn on_tick(&mut self, actions: &mut Vec<Action>) {
-        actions.push(Action::SetTimer { id: 0, after: TICK });
+        actions.push(Action::SetTimer { id: 0, after: TICK_INTERVAL });
         self.load_shedder.on_tick(&self.balancer, self.now);
         self.end_overdue_counter_waits(actions);
         self.dispatch_waiting_requests(actions);
@@ -206,8 +216,8 @@
         }
     }
 
-    /// Releases idle leases, and forgets accounts, endpoints and timed-out calls that are not needed any
-    /// more.
+    /// Releases idle leases and drops the state of accounts, endpoints and timed-out calls that are no longer
+    /// needed.
     fn sweep(&mut self, actions: &mut Vec<Action>) {
         self.swept_at = self.now;
         self.quota.release_unused_leases(&self.settings, self.now, actions);
@@ -215,12 +225,13 @@
         self.quota.drop_expired_calls(self.now);
     }
 
-    /// Tries again to find endpoints for the requests that wait for one, and rejects or fails those that
-    /// waited too long: a late rejection costs its client the time to go elsewhere.
+    /// Dispatches the requests that wait for an endpoint again. A request that reaches its longest wait
+    /// within two ticks is rejected or failed instead: a late rejection costs its client the time to go
+    /// elsewhere.
     fn dispatch_waiting_requests(&mut self, actions: &mut Vec<Action>) {
         for id in self.pending.take_waiting_for_endpoint() {
             let Some(pending) = self.pending.get(&id) else { continue };
-            if self.now + 2 * TICK >= pending.arrived_at + self.longest_wait(pending) {
+            if self.now + 2 * TICK_INTERVAL >= pending.arrived_at + self.longest_wait(pending) {
                 self.reject_or_fail(&id, actions);
             } else {
                 self.dispatch(&id, actions);
@@ -228,14 +239,15 @@
         }
     }
 
-    /// How long a request may wait in all before its first attempt.
+    /// Returns how long a request may wait in all before its first attempt: its class's latency objective or
+    /// half of the time that its client waits, whichever is shorter.
     fn longest_wait(&self, pending: &PendingRequest) -> Micros {
         let objective = self.settings.classes[pending.request.class].latency_objective;
         let timeout = pending.request.deadline.saturating_sub(pending.arrived_at);
         objective.min(timeout / 2)
     }
 
-    /// Forgets endpoints and accounts that nothing has to be known of any more.
+    /// Drops the state of endpoints and accounts that is no longer needed.
     fn forget_unneeded(&mut self) {
         self.balancer.forget_removed(self.now);
         self.quota.forget_idle_accounts(&self.settings, self.now);
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -1,20 +1,21 @@
-//! The settings of a node as the decisions use them. `protocol` reads them from their serialized form.
+//! The settings of a node in the form that the decisions use. `protocol` reads them from their serialized
+//! form.
 
 use super::identifiers::Micros;
 
-/// How often the effect of a request may happen.
+/// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Idempotency {
     /// Repeats are harmless.
     #[default]
     Safe,
-    /// Endpoints of one deduplication scope drop a repeat within the deduplication window.
+    /// The endpoints of one deduplication scope drop a repeat within the deduplication window.
     Keyed,
     /// The request must never run twice.
     NonIdempotent,
 }
 
-/// The endpoints that drop each other's repeats of a keyed request.
+/// Which endpoints drop each other's repeats of a keyed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum DeduplicationScope {
     /// All endpoints.
@@ -26,87 +27,88 @@
     Cell,
 }
 
-/// A class of request.
+/// A class of requests.
 #[derive(Debug, Clone, Default)]
 pub struct RequestClass {
-    /// A response within this time earns its full weight.
+    /// A response within this time earns the full weight of its request.
     pub latency_objective: Micros,
-    /// How long the client waits in all, over its retries.
+    /// How long a client waits in all, including its retries.
     pub total_timeout: Micros,
-    /// Whether the request may run again.
+    /// Whether a request may run more than once.
     pub idempotency: Idempotency,
-    /// For keyed classes: which endpoints drop repeats.
+    /// Which endpoints drop repeats. Used for keyed classes only.
     pub deduplication_scope: DeduplicationScope,
-    /// For keyed classes: how long repeats are dropped.
+    /// How long endpoints drop repeats. Used for keyed classes only.
     pub deduplication_window: Micros,
-    /// Value of one request, in the unit that all classes share.
+    /// Value of one request, in a unit that all classes share.
     pub priority_weight: f64,
-    /// Share of the weight that a response after the objective earns, 0 to 1.
+    /// Share of the weight that a response after the latency objective earns, 0 to 1.
     pub late_weight: f64,
     /// Whether the response is a stream. Not used by the decisions.
     pub streaming: bool,
 }
 
-/// A plan: quotas that hold for each of its accounts, over all nodes together.
+/// A plan: the quotas of each of its accounts. A quota applies to all nodes together.
 #[derive(Debug, Clone, Default)]
 pub struct Plan {
-    /// Rate of the quota; 0 means no such quota.
+    /// Rate of the quota of units, in units per second; 0 means that there is no quota of units.
     pub quota_units_per_second: f64,
-    /// Size of the quota's token bucket, which starts full.
+    /// Capacity of the quota's token bucket, in units. The bucket starts full.
     pub burst_units: f64,
-    /// Rate of the hard ceiling; 0 means no ceiling. The decisions use it as a flag: whether there is a
-    /// ceiling.
+    /// Rate of the hard ceiling, in units per second; 0 means that there is no ceiling. The decisions use it
+    /// only as a flag that says whether there is a ceiling.
     pub ceiling_units_per_second: f64,
-    /// Size of the ceiling's token bucket. Not used by the decisions.
+    /// Capacity of the ceiling's token bucket, in units. Not used by the decisions.
     pub ceiling_burst_units: f64,
-    /// How far the ceiling's token bucket may go below zero. Not used by the decisions.
+    /// How many units the ceiling's token bucket may go below zero. Not used by the decisions.
     pub ceiling_slack_units: f64,
-    /// Attempts in flight at once; 0 means no such quota.
+    /// Maximum number of attempts in flight at once; 0 means that there is no such quota.
     pub max_in_flight: u32,
-    /// Share of its weight that admitting a request beyond quota costs.
+    /// Cost of admitting a request beyond quota, as a share of the request's weight.
     pub over_quota_cost: f64,
-    /// Share of its weight that serving a request beyond quota earns.
+    /// Value of serving a request beyond quota, as a share of the request's weight.
     pub over_quota_weight: f64,
-    /// Factor on the weight of the plan's requests.
+    /// Factor that multiplies the weight of the plan's requests.
     pub weight_factor: f64,
 }
 
 /// What a node may do at this site.
 #[derive(Debug, Clone, Default)]
 pub struct Limits {
-    /// Attempts may be cancelled.
+    /// Whether the node may cancel attempts.
     pub cancel_allowed: bool,
-    /// Endpoints may be probed. Not used by the decisions.
+    /// Whether the node may probe endpoints. Not used by the decisions.
     pub probes_allowed: bool,
-    /// Rejections may carry a `Retry-After` time.
+    /// Whether rejections may carry a `Retry-After` time.
     pub retry_after_allowed: bool,
-    /// The longest `Retry-After` time that a client follows.
+    /// The longest `Retry-After` time that clients follow.
     pub max_retry_after: Micros,
-    /// Most attempts for one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// How long a connection may take to be established before an attempt is written to it.
+    /// Time limit for establishing a connection before an attempt is written to it.
     pub connect_timeout: Micros,
 }
 
-/// The counter service that all nodes share.
+/// Settings of the counter service that all nodes share.
 #[derive(Debug, Clone, Default)]
 pub struct CounterSettings {
-    /// Whether it may be called.
+    /// Whether the node may call the counter service.
     pub enabled: bool,
-    /// A call without a reply for this long has timed out.
+    /// A call that gets no reply within this time has timed out.
     pub timeout: Micros,
 }
 
-/// How an endpoint warms up after a start, and how much load it survives meanwhile.
+/// How an endpoint warms up after a start, and how much load it can take meanwhile.
 #[derive(Debug, Clone, Default)]
 pub struct WarmUp {
-    /// Least share of its full capacity right after the start, 0 to 1.
+    /// Least share of its full capacity that an endpoint has right after its start, 0 to 1.
     pub initial_fraction: f64,
-    /// An endpoint has its full capacity after this long at the latest.
+    /// Longest time after its start until an endpoint has its full capacity.
     pub duration: Micros,
-    /// An endpoint that is warming up fails when sent this many times its capacity...
+    /// An endpoint that is warming up fails if it is sent this multiple of its capacity for
+    /// `overload_duration`.
     pub overload_multiple: f64,
-    /// ... for this long. Not used by the decisions.
+    /// How long an overload by `overload_multiple` lasts until the endpoint fails. Not used by the decisions.
     pub overload_duration: Micros,
 }
 
@@ -115,29 +117,29 @@
 pub struct Settings {
     /// The index of this node, from 0.
     pub node_index: u32,
-    /// How many nodes there are.
+    /// Number of nodes in the fleet.
     pub node_count: u32,
-    /// The zone of this node.
+    /// Identifies the zone that this node is in.
     pub zone: u32,
     /// Least time between two batches of events from the simulator. Not used by the decisions.
     pub batch_interval: Micros,
-    /// The endpoint list has to be polled; otherwise it is pushed.
+    /// Whether the node has to poll the endpoint list; otherwise the list is pushed.
     pub polls_endpoint_list: bool,
-    /// Clients mark their retries. Not used by the decisions.
+    /// Whether clients mark their retries. Not used by the decisions.
     pub clients_mark_retries: bool,
-    /// The most units that one request counts. Not used by the decisions.
+    /// The greatest number of units that one request uses. Not used by the decisions.
     pub max_request_units: f64,
-    /// The true units of a request are known only with its response. Not used by the decisions.
+    /// Whether the actual units of a request are known only with its response. Not used by the decisions.
     pub units_settled_after: bool,
-    /// Cost of an attempt that crosses zones, as a share of a first attempt.
+    /// Cost of an attempt that crosses zones, as a share of the cost of a first attempt.
     pub cross_zone_cost: f64,
-    /// The classes of request, by index.
+    /// The request classes, by index.
     pub classes: Vec<RequestClass>,
     /// The plans, by index.
     pub plans: Vec<Plan>,
-    /// What a node may do.
+    /// What a node may do at this site.
     pub limits: Limits,
-    /// The counter service.
+    /// Settings of the counter service.
     pub counter: CounterSettings,
     /// How endpoints warm up.
     pub warm_up: WarmUp,
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: which endpoint gets a request, when it is sent again, and what the client gets at the end.
+//! Tests of attempts: endpoint selection, retries, and the final response to the client.
 
 mod common;
 
@@ -11,7 +11,7 @@
     NewRequest, Outcome,
 };
 
-/// A request of account 1 with an id of its own.
+/// Returns a request of account 1 with the given id.
 fn request_with_id(id: &str, class: usize, deadline: Micros) -> NewRequest {
     NewRequest {
         id: id.into(),
@@ -40,7 +40,7 @@
         entries: vec![endpoint_entry(0, EndpointState::Active, 0)],
     });
     let endpoint = node.request_started(SAFE).endpoint;
-    assert_eq!(endpoint, EndpointId(0), "an endpoint that a snapshot lacks has been removed");
+    assert_eq!(endpoint, EndpointId(0), "an endpoint missing from a snapshot must get no attempt");
 }
 
 #[test]
@@ -66,10 +66,17 @@
     let attempt = node.request_started(KEYED);
     let retries = started_attempts(&node.end_attempt(&attempt, 0, Outcome::Reset));
     assert_eq!(retries.len(), 1);
-    assert_eq!(retries[0].endpoint.0 % 2, attempt.endpoint.0 % 2, "the same cell");
+    assert_eq!(
+        retries[0].endpoint.0 % 2,
+        attempt.endpoint.0 % 2,
+        "the retry must stay in the cell of the first attempt"
+    );
     node.advance(SECOND + MILLISECOND);
     let actions = node.end_attempt(&retries[0], 1, Outcome::Reset);
-    assert!(started_attempts(&actions).is_empty() && has_failure(&actions), "past the window");
+    assert!(
+        started_attempts(&actions).is_empty() && has_failure(&actions),
+        "past the window the request must fail"
+    );
 }
 
 #[test]
@@ -80,14 +87,18 @@
         let attempt = node.request_started(KEYED);
         node.advance(elapsed);
         let actions = node.end_attempt(&attempt, 0, Outcome::Reset);
-        assert_eq!(!started_attempts(&actions).is_empty(), is_sent_again, "{elapsed} after the first");
+        assert_eq!(
+            !started_attempts(&actions).is_empty(),
+            is_sent_again,
+            "{elapsed} us after the first attempt"
+        );
         assert_eq!(has_failure(&actions), !is_sent_again);
     }
 }
 
 #[test]
 fn keyed_request_is_rejected_only_if_its_repeats_are_dropped_until_its_client_stops_waiting() {
-    // Clients wait for 2 s.
+    // The client stops waiting 2 s after it sends the request.
     for (window, is_rejected) in [(2 * SECOND, true), (2 * SECOND - MILLISECOND, false)] {
         let mut settings = settings_without_quota();
         settings.classes[KEYED].deduplication_scope = DeduplicationScope::All;
@@ -96,8 +107,8 @@
         let mut node = NodeUnderTest::new(settings, 2);
         let attempt = node.request_started(KEYED);
         let actions = node.end_attempt(&attempt, 0, Outcome::Reset);
-        assert_eq!(rejection(&actions).is_some(), is_rejected, "a window of {window}");
-        assert_eq!(has_failure(&actions), !is_rejected, "a window of {window}");
+        assert_eq!(rejection(&actions).is_some(), is_rejected, "deduplication window of {window} us");
+        assert_eq!(has_failure(&actions), !is_rejected, "deduplication window of {window} us");
     }
 }
 
@@ -111,7 +122,7 @@
 }
 
 #[test]
-fn events_about_what_is_over_are_ignored() {
+fn events_about_unknown_or_ended_items_are_ignored() {
     let mut node = NodeUnderTest::new(settings_without_quota(), 2);
     let unknown = StartedAttempt { request: "never".into(), endpoint: EndpointId(99) };
     node.end_attempt(&unknown, 3, Outcome::Ok);
@@ -124,7 +135,7 @@
     node.end_attempt(&attempt, 9, Outcome::Ok);
     node.end_attempt(&attempt, 0, Outcome::Ok);
     let actions = node.end_attempt(&attempt, 0, Outcome::TimedOut);
-    assert!(actions.is_empty(), "an attempt ends once");
+    assert!(actions.is_empty(), "the second end of an attempt must be ignored");
 }
 
 #[test]
@@ -136,9 +147,11 @@
     assert!(rejection(&node.tick()).is_some());
 }
 
+/// Guards against sending a request twice. A client that disconnects may use the id of its waiting request
+/// again at once. If the first request is left in a queue, the second one is sent from there as well.
 #[test]
-fn id_used_again_while_its_first_request_waited_is_sent_once() {
-    // The first request waits for the counter, or for an endpoint.
+fn reused_id_of_waiting_request_is_sent_once() {
+    // In the first case the request waits for the counter, in the second for an endpoint.
     for (settings, endpoint_count) in [(settings_with_quota(), 2), (settings_without_quota(), 0)] {
         let mut node = NodeUnderTest::new(settings, endpoint_count);
         let request = request_with_id("again", NON_IDEMPOTENT, node.now + 2 * SECOND);
@@ -152,10 +165,12 @@
         };
         node.update_endpoint(endpoint_entry(9, EndpointState::Active, 0));
         actions.extend(node.tick());
-        assert_eq!(started_attempts(&actions).len(), 1, "with {endpoint_count} endpoints");
+        assert_eq!(started_attempts(&actions).len(), 1, "attempts with {endpoint_count} endpoints");
     }
 }
 
+/// Guards against sending a request twice. A request that waits for an endpoint does not keep its account's
+/// state. If that state is dropped, the request must still leave the queue when its client disconnects.
 #[test]
 fn id_used_again_after_its_account_was_forgotten_is_sent_once() {
     let mut settings = settings_without_quota();
@@ -167,7 +182,11 @@
         node.advance(20 * MILLISECOND);
         node.tick();
     }
-    assert_eq!(node.node.retained_entries().accounts, 0, "the request still waits for an endpoint");
+    assert_eq!(
+        node.node.retained_entries().accounts,
+        0,
+        "a request that waits for an endpoint must not keep its account"
+    );
     node.event(Event::ClientDisconnected { request: "again".into() });
     node.event(Event::RequestReceived(request));
     node.update_endpoint(endpoint_entry(9, EndpointState::Active, 0));
--- a/tests/load_shedding.rs
+++ b/tests/load_shedding.rs
@@ -1,4 +1,4 @@
-//! Load shedding: requests are shed while the fleet is full, and only then.
+//! Tests of load shedding: requests are shed while the fleet is overloaded, and only then.
 
 mod common;
 
@@ -9,7 +9,7 @@
     SECOND,
 };
 
-/// Completes the attempts, one every 50 ms.
+/// Completes the attempts in order, one every 50 ms.
 fn complete_slowly(node: &mut NodeUnderTest, attempts: Vec<StartedAttempt>) {
     for attempt in attempts {
         node.advance(50 * MILLISECOND);
@@ -17,6 +17,8 @@
     }
 }
 
+/// Guards against two failures: an overloaded fleet admits all requests, or an idle fleet keeps rejecting
+/// requests because of the response times measured during an earlier overload.
 #[test]
 fn full_fleet_sheds_load_and_an_idle_one_never_does() {
     let mut node = NodeUnderTest::new(settings_without_quota(), 2);
@@ -36,20 +38,28 @@
         let actions = node.request(SAFE, 1.0).actions;
         if let Some(retry_after) = rejection(&actions) {
             rejections += 1;
-            assert!((1..=2 * SECOND).contains(&retry_after), "rejected without a time to come back");
+            assert!(
+                (1..=2 * SECOND).contains(&retry_after),
+                "the Retry-After time must be between 1 us and 2 s"
+            );
         }
         in_flight.extend(started_attempts(&actions));
     }
-    assert!(rejections > 50, "{rejections} of 200 rejected in 0.2 s, with two endpoints at 20 a second");
+    assert!(
+        rejections > 50,
+        "{rejections} of 200 rejected in 0.2 s, expected over 50: two endpoints at 20 a second"
+    );
     complete_slowly(&mut node, in_flight);
     for _ in 0..500 {
         node.advance(20 * MILLISECOND);
         node.tick();
     }
     let attempts = started_attempts(&node.request(SAFE, 1.0).actions);
-    assert_eq!(attempts.len(), 1, "old latencies keep an idle fleet shut");
+    assert_eq!(attempts.len(), 1, "an idle fleet must admit a request, whatever the past latencies");
 }
 
+/// Guards against shedding load at a random peak. The number of attempts in flight at one node varies by
+/// chance, and a node that judges the load by their current number sheds a random burst.
 #[test]
 fn random_burst_in_an_idle_fleet_is_admitted() {
     let mut node = NodeUnderTest::new(settings_without_quota(), 3);
@@ -66,7 +76,7 @@
             node.complete(&oldest);
         }
     }
-    // A request that is shed panics in `request_started`.
+    // `request_started` panics if the request is shed.
     for _ in 0..60 {
         node.request_started(SAFE);
     }
