--- a/src/decision/balancer/cost.rs
+++ b/src/decision/balancer/cost.rs
@@ -1,32 +1,33 @@
-//! The cost of an attempt at an endpoint, by which endpoints that are otherwise alike are compared.
+//! The cost of an attempt at an endpoint. It decides between endpoints that the other rules rank alike.
 
-use super::endpoint::Endpoint;
+use super::endpoint::EndpointBalancingState;
 use super::endpoint_table::EndpointTable;
 use super::failure_shares::{FailureKind, FailureShares};
 use super::SelectionRequest;
 use crate::decision::estimators::RandomSource;
 use crate::decision::{Micros, Settings};
 
-/// How soon the node's own load counts outweigh exploration, in attempts in flight at each endpoint.
+/// How fast the node's own load counts outweigh exploration: the weight of exploration is
+/// 1 / (1 + `EXPLORATION_DECAY` * n) with n attempts in flight per active endpoint.
 const EXPLORATION_DECAY: f64 = 60.0;
-/// How much a certain failure adds to the square root of the failure factor.
+/// What a failure risk of 1 adds to the square root of the failure factor.
 const FAILURE_COST: f64 = 10.0;
-/// Failures are taken into account once they are more than this share over the fleet.
+/// Failures affect the cost only if the share of at least one kind over the fleet is above this value.
 const NEGLIGIBLE_FAILURE_SHARE: f64 = 0.01;
-/// Bounds of the slowness: the response time relative to that of the fleet.
+/// Bounds of the slowness, the response time of an endpoint relative to that of the fleet.
 const MIN_SLOWNESS: f64 = 0.25;
 const MAX_SLOWNESS: f64 = 4.0;
-/// Least warm fraction that the cost is divided by.
+/// Lower bound of the warm fraction by which the cost is divided.
 const MIN_WARM_FRACTION: f64 = 0.05;
 
-/// A kind of failure and its share over the fleet, 0 to 1.
+/// A kind of failure and the share of attempts over the fleet that fail in this way, 0 to 1.
 #[derive(Clone, Copy)]
 struct FleetShare {
     kind: FailureKind,
     share: f64,
 }
 
-/// The kinds of failure that one request may meet.
+/// The shares over the fleet of the kinds of failure that one request may meet.
 struct FleetFailures {
     class: FleetShare,
     plan: FleetShare,
@@ -49,21 +50,21 @@
     }
 }
 
-/// Estimates the cost of an attempt of one request.
+/// Estimates the cost of an attempt for one request.
 pub(super) struct CostModel<'a> {
     settings: &'a Settings,
     now: Micros,
     /// Mean response time of the fleet in microseconds.
     fleet_mean_latency: f64,
-    /// Weight of chance beside the node's own load counts, 0 to 1. A node with next to nothing in flight
-    /// would otherwise always take the largest endpoint.
+    /// Weight of a random number relative to the node's own load counts, 0 to 1. Without it, a node with
+    /// next to nothing in flight would always select the endpoint with the greatest capacity.
     exploration: f64,
-    /// None if hardly anything fails.
+    /// `None` if all shares are negligible.
     fleet_failures: Option<FleetFailures>,
 }
 
 impl<'a> CostModel<'a> {
-    /// The model for one request.
+    /// Creates the model for one request.
     pub fn new(
         settings: &'a Settings,
         now: Micros,
@@ -80,29 +81,35 @@
         CostModel { settings, now, fleet_mean_latency, exploration, fleet_failures }
     }
 
-    /// The cost of an attempt at this endpoint: its expected wait, relative to its capacity, times factors
-    /// for the distance and for the risk of failure. Draws one random number.
-    pub fn cost(&self, endpoint: &Endpoint, warm_fraction: f64, random: &mut RandomSource) -> f64 {
+    /// Returns the cost of an attempt at an endpoint: the expected wait relative to the endpoint's capacity,
+    /// times a factor for the distance and a factor for the risk of failure. Draws one random number.
+    pub fn cost(
+        &self,
+        endpoint: &EndpointBalancingState,
+        warm_fraction: f64,
+        random: &mut RandomSource,
+    ) -> f64 {
         let wait = self.slowness(endpoint) * self.queue(endpoint, random);
         let capacity = endpoint.entry.weight * warm_fraction.max(MIN_WARM_FRACTION);
         let failure_factor = (1.0 + FAILURE_COST * self.failure_risk(endpoint)).powi(2);
         wait / capacity * self.distance_factor(endpoint) * failure_factor
     }
 
-    /// The endpoint's response time relative to that of the fleet.
-    fn slowness(&self, endpoint: &Endpoint) -> f64 {
+    /// Returns the endpoint's mean response time relative to that of the fleet, within its bounds.
+    fn slowness(&self, endpoint: &EndpointBalancingState) -> f64 {
         (endpoint.latency / self.fleet_mean_latency).clamp(MIN_SLOWNESS, MAX_SLOWNESS)
     }
 
-    /// Attempts at the endpoint, this one among them. Where the node's own count says little, a random number
-    /// decides; its distribution is exponential, so that endpoints are drawn in proportion to their capacity.
-    fn queue(&self, endpoint: &Endpoint, random: &mut RandomSource) -> f64 {
+    /// Returns the number of attempts at the endpoint, including this one. With few attempts in flight the
+    /// node's own count says little, and a random number replaces most of this attempt's part. The random
+    /// number is exponentially distributed, so that endpoints are selected in proportion to their capacity.
+    fn queue(&self, endpoint: &EndpointBalancingState, random: &mut RandomSource) -> f64 {
         let load = endpoint.in_flight_since_ejection().count() as f64;
         load + 1.0 - self.exploration + self.exploration * random.exponential()
     }
 
-    /// Factor for crossing zones.
-    fn distance_factor(&self, endpoint: &Endpoint) -> f64 {
+    /// Returns the factor on the cost for crossing zones; 1 in the node's own zone.
+    fn distance_factor(&self, endpoint: &EndpointBalancingState) -> f64 {
         if endpoint.entry.zone == self.settings.zone {
             1.0
         } else {
@@ -110,9 +117,10 @@
         }
     }
 
-    /// The probability that the attempt fails, by the worst kind of failure. Where a node always has attempts
-    /// in flight at an endpoint, missing responses show by themselves and weigh less.
-    fn failure_risk(&self, endpoint: &Endpoint) -> f64 {
+    /// Returns the probability that the attempt fails, 0 to 1, by the kind of failure with the greatest
+    /// share. Where a node always has attempts in flight at an endpoint, these reveal missing responses by
+    /// themselves, so the share of unanswered attempts weighs less there.
+    fn failure_risk(&self, endpoint: &EndpointBalancingState) -> f64 {
         let Some(fleet) = &self.fleet_failures else { return 0.0 };
         let share = |fleet: FleetShare| endpoint.failures.share(fleet.kind, fleet.share, self.now);
         let unanswered_weight = (2.0 * self.exploration).min(1.0);
--- a/src/decision/balancer/deduplication_group.rs
+++ b/src/decision/balancer/deduplication_group.rs
@@ -1,20 +1,20 @@
-//! The groups of endpoints that drop each other's repeats of a keyed request.
+//! The groups of endpoints that drop repeats of keyed requests which ran at another endpoint of the group.
 
 use super::Placement;
 use crate::decision::{DeduplicationScope, EndpointEntry, Idempotency, RequestClass};
 
-/// A zone or a cell, as far as its endpoints drop each other's repeats.
+/// A zone or a cell whose endpoints drop repeats of each other's keyed requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum DeduplicationGroup {
-    /// The endpoints of a zone.
+    /// The endpoints of the zone with this number.
     Zone(u32),
-    /// The endpoints of a cell.
+    /// The endpoints of the cell with this number.
     Cell(u32),
 }
 
 impl DeduplicationGroup {
-    /// The group that attempts of a class are bound to once one may have run at `placement`. None if any
-    /// endpoint may be sent another.
+    /// Returns the group to which further attempts of a request of this class are bound once an attempt may
+    /// have run at `placement`. Returns `None` if they may be sent to any endpoint.
     pub fn binding(class: &RequestClass, placement: Placement) -> Option<Self> {
         if class.idempotency != Idempotency::Keyed {
             return None;
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Whether an endpoint is in this group.
+    /// Returns whether an endpoint is in this group.
     pub fn contains(self, entry: &EndpointEntry) -> bool {
         match self {
             DeduplicationGroup::Zone(zone) => entry.zone == zone,
@@ -35,7 +35,7 @@
     }
 }
 
-/// The kinds of group that any class binds its attempts to.
+/// The kinds of deduplication group to which at least one request class binds its attempts.
 #[derive(Clone, Copy, Default)]
 pub(super) struct GroupsInUse {
     zones: bool,
@@ -43,8 +43,8 @@
 }
 
 impl GroupsInUse {
-    /// Those that these classes use.
-    pub fn by(classes: &[RequestClass]) -> Self {
+    /// Returns the kinds that these classes use.
+    pub fn from_classes(classes: &[RequestClass]) -> Self {
         let any_class_uses = |scope| {
             classes
                 .iter()
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The groups in use that an endpoint is in.
+    /// Returns the groups of an endpoint that are of a kind in use.
     pub fn of(self, entry: &EndpointEntry) -> impl Iterator<Item = DeduplicationGroup> {
         let zone = self.zones.then_some(DeduplicationGroup::Zone(entry.zone));
         let cell = self.cells.then_some(DeduplicationGroup::Cell(entry.cell));
--- a/src/decision/balancer/endpoint.rs
+++ b/src/decision/balancer/endpoint.rs
@@ -1,4 +1,4 @@
-//! What a node keeps of one endpoint.
+//! The state that a node keeps for one endpoint.
 
 use std::collections::VecDeque;
 
@@ -7,47 +7,55 @@
 use crate::decision::estimators::{DecayingRate, TokenBucket};
 use crate::decision::{EndpointEntry, EndpointState, Micros};
 
-/// Time constant of the rate of responses, in microseconds: some tens of responses, and well within the onset
-/// of an overload.
+/// Time constant of the completion rate, in microseconds. It covers some tens of responses, and is much
+/// shorter than the onset of an overload.
 pub(in crate::decision) const COMPLETION_TIME_CONSTANT: f64 = 1.5e6;
 
-/// An endpoint, its load and its health, as this node sees them.
+/// The list entry, load, health and warm-up of one endpoint, as this node sees them.
 #[derive(Default)]
-pub(in crate::decision) struct Endpoint {
-    /// Its latest entry of the endpoint list; its start is the latest that any entry named.
+pub(in crate::decision) struct EndpointBalancingState {
+    /// The latest list entry of the endpoint. Its `started_at` is the latest of all its entries.
     pub entry: EndpointEntry,
-    /// When the attempts in flight were sent, the earliest first. Changed through the endpoint table, which
-    /// counts them.
+    /// When the attempts in flight were sent, the earliest first. Only the endpoint table, which counts the
+    /// attempts in flight, may change it.
     pub in_flight: VecDeque<Micros>,
     /// Mean response time in microseconds.
     pub latency: f64,
-    /// Rate at which requests leave it.
+    /// Rate at which requests leave the endpoint.
     pub completions: DecayingRate,
-    /// How its attempts ended.
+    /// Shares of the attempts at the endpoint that failed.
     pub(super) failures: FailureShares,
-    /// When it last sent a response, or became known.
+    /// When the endpoint last sent a response; before the first one, when it became known.
     pub last_response_at: Micros,
-    /// When the latest attempt that succeeded was sent.
+    /// The latest time at which an attempt was sent that succeeded; 0 before the first success.
     pub last_success_sent_at: Micros,
-    /// Ejections since its last success or start.
+    /// Number of ejections since the last success or restart.
     pub consecutive_ejections: u32,
-    /// Connections to it that were reset under a request, since its last response or start.
+    /// Number of connections that were reset during a request since the last response or restart.
     pub connection_resets: u32,
-    /// It is ejected until then.
+    /// When the latest ejection ends; 0 if there was none since the last restart.
     pub ejected_until: Micros,
-    /// When an attempt at it last began while it was recovering.
+    /// When the latest recovery test started; 0 if there was none since the last restart.
     pub recovery_tested_at: Micros,
-    /// What it may be sent while it warms up, on the count of `SlowStart`.
+    /// The requests that the endpoint may be sent while it warms up. The bucket refills by the request count
+    /// of `SlowStart` in place of the time.
     pub slow_start: TokenBucket,
 }
 
-impl Endpoint {
-    /// An endpoint that becomes known at `now`; of its response time the fleet's mean is assumed.
+impl EndpointBalancingState {
+    /// Returns the state of an endpoint that becomes known at `now`. `latency`, in microseconds, is the mean
+    /// response time that is assumed for it: that of the fleet.
     pub fn new(entry: EndpointEntry, slow_start: TokenBucket, latency: f64, now: Micros) -> Self {
-        Endpoint { entry, latency, last_response_at: now, slow_start, ..Endpoint::default() }
+        EndpointBalancingState {
+            entry,
+            latency,
+            last_response_at: now,
+            slow_start,
+            ..EndpointBalancingState::default()
+        }
     }
 
-    /// Forgets what a restart makes void. What is in flight and the shares of failures stay.
+    /// Resets what a restart invalidates. The attempts in flight and the shares of failures stay.
     pub fn reset_after_restart(&mut self, slow_start: TokenBucket, latency: f64) {
         self.consecutive_ejections = 0;
         self.connection_resets = 0;
@@ -57,22 +65,22 @@
         self.latency = latency;
     }
 
-    /// Whether the endpoint list has it in service.
+    /// Returns whether the endpoint list has the endpoint in service.
     pub fn is_active(&self) -> bool {
         self.entry.state == EndpointState::Active
     }
 
-    /// Responses per second.
+    /// Returns the rate at which requests leave the endpoint, in requests per second.
     pub fn completion_rate(&self, now: Micros) -> f64 {
         self.completions.per_second(now, COMPLETION_TIME_CONSTANT)
     }
 
-    /// Records that a request left it, with a response or not.
+    /// Records that a request left the endpoint, with or without a response.
     pub fn record_completion(&mut self, now: Micros) {
         self.completions.record(now, 1.0, COMPLETION_TIME_CONSTANT);
     }
 
-    /// Records a success; it ends an ejection and what led to it.
+    /// Records a success. It ends an ejection and resets the count of consecutive ejections.
     pub fn record_success(&mut self, sent_at: Micros, elapsed: Micros, now: Micros) {
         self.latency += (elapsed as f64 - self.latency) * LATENCY_GAIN;
         self.record_completion(now);
@@ -82,8 +90,9 @@
         self.ejected_until = self.ejected_until.min(now);
     }
 
-    /// When the attempts in flight were sent, without those sent before the latest ejection ended. What hung
-    /// then may never be retried, and would keep an endpoint out long after it has recovered.
+    /// Returns when the attempts in flight were sent, the earliest first, without those sent before the end
+    /// of the latest ejection. An attempt that hung then stays in flight if its request must not be retried;
+    /// if it counted, the endpoint would not be used until long after it has recovered.
     pub fn in_flight_since_ejection(&self) -> impl Iterator<Item = Micros> + '_ {
         self.in_flight.iter().copied().filter(|&sent_at| sent_at >= self.ejected_until)
     }
--- a/src/decision/balancer/endpoint_table.rs
+++ b/src/decision/balancer/endpoint_table.rs
@@ -1,135 +1,137 @@
-//! The endpoints that a node knows, with one owner and with indexes by id, by deduplication group and by
-//! traffic.
+//! The endpoints that a node knows. The table owns their state and indexes it by id, by deduplication group
+//! and by traffic.
 //!
-//! Work for a request or a tick that grew with the fleet would leave a node before some ten thousand
-//! endpoints unable to serve at all. So nothing here walks all endpoints but what applies or forgets list
-//! entries.
+//! If the work for a request or a tick grew with the fleet, a node with some ten thousand endpoints could not
+//! serve at all. Only functions that apply or forget list entries therefore iterate over all endpoints.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::deduplication_group::{DeduplicationGroup, GroupsInUse};
-use super::endpoint::Endpoint;
+use super::endpoint::EndpointBalancingState;
 use crate::decision::estimators::TokenBucket;
 use crate::decision::{EndpointEntry, EndpointId, EndpointState, Micros, RequestClass};
 
-/// A list of up to so many endpoints is examined in full for an attempt, which takes some microseconds. Of a
-/// longer one it is the subset and, if nobody there is available, so many of the rest. A greater number finds
-/// better endpoints at more time for each attempt.
+/// An endpoint list of up to this length is examined in full for an attempt, which takes some microseconds.
+/// Of a longer list, the subset is examined and, if no endpoint of it is available, up to this many of the
+/// others. A greater number finds better endpoints, but takes more time for each attempt.
 pub(super) const MAX_EXAMINED: usize = 256;
-/// Up to so many endpoints with traffic are never dropped from their index.
+/// The index of endpoints with traffic drops none while it holds up to this many.
 const MIN_WITH_TRAFFIC: usize = MAX_EXAMINED;
-/// Responses per second that are lost in rounding when the rates of all endpoints are added up.
+/// A completion rate, in requests per second, that is lost in rounding when the rates of all endpoints are
+/// summed.
 const NEGLIGIBLE_COMPLETION_RATE: f64 = 1e-20;
 
-/// An entry of the endpoint list on its way into the table.
+/// An entry of the endpoint list that is to be applied to the table.
 pub(super) struct ListedEndpoint {
-    /// The entry.
     pub entry: EndpointEntry,
-    /// The bucket that the endpoint gets if it is new or has restarted.
+    /// The slow-start bucket that the endpoint gets if it is new or has restarted.
     pub slow_start: TokenBucket,
 }
 
-/// An active endpoint: its place on the ring of ids and in the table.
+/// The id and the slot of an active endpoint on the ring.
 #[derive(Clone, Copy)]
 struct RingEntry {
     id: EndpointId,
     slot: usize,
 }
 
-/// An endpoint in a deduplication group. In an ordered set, the endpoints of a group are next to each other.
+/// An endpoint in a deduplication group. The order of the fields makes the endpoints of one group adjacent in
+/// an ordered set.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct GroupEntry {
     group: DeduplicationGroup,
     id: EndpointId,
 }
 
-/// The endpoints that a node knows.
+/// The state of all endpoints that a node knows, with indexes.
 #[derive(Default)]
 pub(in crate::decision) struct EndpointTable {
-    /// The endpoints; the indexes below name them by their slot, which stays the same.
-    slots: Vec<Endpoint>,
+    /// The state of the endpoints. An endpoint keeps its slot, by which the indexes below refer to it.
+    slots: Vec<EndpointBalancingState>,
     free_slots: Vec<usize>,
-    /// The active endpoints in the order of their ids, which is the same at all nodes: the ring of
-    /// subsetting.
+    /// The ring of subsetting: the active endpoints in the order of their ids, which is the same at all
+    /// nodes.
     active: Vec<RingEntry>,
-    /// The endpoints that are draining, or removed with attempts still in flight.
+    /// The slots of endpoints that are draining, or that are removed but still have attempts in flight.
     inactive: BTreeMap<EndpointId, usize>,
-    /// The endpoints of each deduplication group in use.
+    /// The endpoints of each deduplication group that is in use.
     group_entries: BTreeSet<GroupEntry>,
     groups_in_use: GroupsInUse,
-    /// The endpoints with attempts in flight or a rate of responses.
+    /// The slots of endpoints with attempts in flight or a completion rate.
     with_traffic: BTreeMap<EndpointId, usize>,
-    /// Attempts in flight.
+    /// Number of attempts in flight at all endpoints.
     in_flight: usize,
-    /// Endpoints examined for requests and ticks since the start.
+    /// Number of endpoints examined for requests and ticks since the start of the node.
     endpoints_examined: Cell<u64>,
-    /// List entries since the start that were new or changed something.
+    /// Number of list entries since the start of the node that were new or changed something.
     entries_changed: u64,
 }
 
 impl EndpointTable {
-    /// An empty table for requests of these classes.
+    /// Creates an empty table for requests of these classes.
     pub fn new(classes: &[RequestClass]) -> Self {
-        EndpointTable { groups_in_use: GroupsInUse::by(classes), ..EndpointTable::default() }
+        EndpointTable { groups_in_use: GroupsInUse::from_classes(classes), ..EndpointTable::default() }
     }
 
-    /// How many endpoints are active.
+    /// Returns the number of active endpoints, which is the size of the ring.
     pub fn active_count(&self) -> usize {
         self.active.len()
     }
 
-    /// How many endpoints something is kept of.
+    /// Returns the number of endpoints for which state is kept.
     pub fn retained_count(&self) -> usize {
         self.active.len() + self.inactive.len()
     }
 
-    /// How many attempts are in flight.
+    /// Returns the number of attempts in flight at all endpoints.
     pub fn in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// How many endpoints were examined for requests and ticks since the start.
+    /// Returns how many endpoints were examined for requests and ticks since the start of the node.
     pub fn endpoints_examined(&self) -> u64 {
         self.endpoints_examined.get()
     }
 
-    /// How many list entries since the start were new or changed something.
+    /// Returns how many list entries since the start of the node were new or changed something.
     pub fn entries_changed(&self) -> u64 {
         self.entries_changed
     }
 
-    /// The active endpoint at a position of the ring; positions beyond the last go round.
-    pub fn at(&self, position: usize) -> &Endpoint {
+    /// Returns the active endpoint at a position of the ring. Positions beyond the last one wrap around.
+    pub fn at(&self, position: usize) -> &EndpointBalancingState {
         self.count_examined(1);
         &self.slots[self.active[position % self.active.len()].slot]
     }
 
-    /// The endpoints with attempts in flight or a rate of responses, in the order of their ids.
-    pub fn with_traffic(&self) -> impl Iterator<Item = &Endpoint> {
+    /// Returns the endpoints with attempts in flight or a completion rate, in the order of their ids.
+    pub fn with_traffic(&self) -> impl Iterator<Item = &EndpointBalancingState> {
         self.count_examined(self.with_traffic.len() as u64);
         self.with_traffic.values().map(|&slot| &self.slots[slot])
     }
 
-    /// The ring positions of a group's active endpoints.
+    /// Returns the ring positions of a group's active endpoints, in the order of their ids.
     pub(super) fn positions_of(&self, group: DeduplicationGroup) -> impl Iterator<Item = usize> + '_ {
         let first = GroupEntry { group, id: EndpointId(0) };
         let last = GroupEntry { group, id: EndpointId(u64::MAX) };
         self.group_entries.range(first..=last).filter_map(|entry| self.position(entry.id))
     }
 
-    /// An endpoint that is known.
-    pub fn get(&self, id: EndpointId) -> Option<&Endpoint> {
+    /// Returns an endpoint, or `None` if it is not known.
+    pub fn get(&self, id: EndpointId) -> Option<&EndpointBalancingState> {
         self.slot(id).map(|slot| &self.slots[slot])
     }
 
-    /// An endpoint that is known. Attempts in flight are not to be changed through it.
-    pub fn get_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
+    /// Returns an endpoint for changes, or `None` if it is not known. The caller must not change its attempts
+    /// in flight, which the table counts.
+    pub fn get_mut(&mut self, id: EndpointId) -> Option<&mut EndpointBalancingState> {
         self.slot(id).map(|slot| &mut self.slots[slot])
     }
 
-    /// Counts an attempt that is sent now. Returns its endpoint, if that is known.
-    pub fn attempt_started(&mut self, id: EndpointId, now: Micros) -> Option<&mut Endpoint> {
+    /// Counts an attempt that is sent at `now` and returns its endpoint. Returns `None` if the endpoint is
+    /// not known.
+    pub fn attempt_started(&mut self, id: EndpointId, now: Micros) -> Option<&mut EndpointBalancingState> {
         let slot = self.slot(id)?;
         self.with_traffic.insert(id, slot);
         self.in_flight += 1;
@@ -138,8 +140,9 @@
         Some(endpoint)
     }
 
-    /// Stops counting an attempt that was sent at `sent_at`. Returns its endpoint, if both are known.
-    pub fn attempt_ended(&mut self, id: EndpointId, sent_at: Micros) -> Option<&mut Endpoint> {
+    /// Stops counting an attempt that was sent at `sent_at` and returns its endpoint. Returns `None` if the
+    /// endpoint or the attempt is not known.
+    pub fn attempt_ended(&mut self, id: EndpointId, sent_at: Micros) -> Option<&mut EndpointBalancingState> {
         let slot = self.slot(id)?;
         let endpoint = &mut self.slots[slot];
         let index = endpoint.in_flight.iter().position(|&attempt_sent_at| attempt_sent_at == sent_at)?;
@@ -148,9 +151,9 @@
         Some(endpoint)
     }
 
-    /// Applies list entries in one pass in the order of ids; a later entry for an id replaces an earlier one.
-    /// After a `snapshot`, endpoints that it lacks are removed. A new endpoint starts with the fleet's mean
-    /// response time `fleet_mean_latency`, in microseconds.
+    /// Applies list entries in one pass in the order of their ids. A later entry for an id replaces an
+    /// earlier one. If the entries are a `snapshot`, endpoints that it lacks are removed. A new endpoint
+    /// starts with the fleet's mean response time `fleet_mean_latency`, in microseconds.
     pub(super) fn apply(
         &mut self,
         mut listed: Vec<ListedEndpoint>,
@@ -158,7 +161,7 @@
         now: Micros,
         fleet_mean_latency: f64,
     ) {
-        // The sort is stable: entries for the same id keep their order.
+        // The sort is stable, so entries for the same id keep their order.
         listed.sort_by_key(|endpoint| endpoint.entry.id);
         if snapshot {
             let removed = self.removed_by(&listed);
@@ -179,21 +182,21 @@
         self.active.extend_from_slice(not_reached);
     }
 
-    /// Entries that remove the endpoints which a sorted snapshot lacks.
+    /// Returns entries that remove the endpoints which a snapshot, sorted by id, lacks.
     fn removed_by(&self, snapshot: &[ListedEndpoint]) -> Vec<ListedEndpoint> {
         let is_listed =
             |id: &EndpointId| snapshot.binary_search_by_key(id, |endpoint| endpoint.entry.id).is_ok();
         let active = self.active.iter().map(|active| active.slot);
         let known = active.chain(self.inactive.values().copied()).map(|slot| &self.slots[slot]);
         let missing = known.filter(|endpoint| !is_listed(&endpoint.entry.id));
-        let removal = |endpoint: &Endpoint| ListedEndpoint {
+        let removal = |endpoint: &EndpointBalancingState| ListedEndpoint {
             entry: EndpointEntry { state: EndpointState::Removed, ..endpoint.entry.clone() },
             slow_start: endpoint.slow_start,
         };
         missing.map(removal).collect()
     }
 
-    /// Applies an entry while the ring is rebuilt and ends at its id.
+    /// Applies an entry while the ring is being rebuilt and holds the endpoints up to the id of the entry.
     fn apply_next(&mut self, listed: ListedEndpoint, now: Micros, fleet_mean_latency: f64) {
         let known_slot = self.take_from_index(listed.entry.id);
         let slot = known_slot.unwrap_or_else(|| self.vacant_slot());
@@ -210,7 +213,8 @@
         }
     }
 
-    /// Takes an endpoint out of the ring, if that ends with it, or of the endpoints that are not active.
+    /// Removes an endpoint from the index that holds it, and returns its slot: from the ring if that ends
+    /// with the endpoint, else from the endpoints that are not active. Returns `None` if neither holds it.
     fn take_from_index(&mut self, id: EndpointId) -> Option<usize> {
         if let Some(last) = self.active.pop_if(|last| last.id == id) {
             return Some(last.slot);
@@ -218,10 +222,10 @@
         self.inactive.remove(&id)
     }
 
-    /// A slot for a new endpoint.
+    /// Returns a slot for a new endpoint: a free one if there is one, else an added one.
     fn vacant_slot(&mut self) -> usize {
         self.free_slots.pop().unwrap_or_else(|| {
-            self.slots.push(Endpoint::default());
+            self.slots.push(EndpointBalancingState::default());
             self.slots.len() - 1
         })
     }
@@ -230,7 +234,7 @@
         let entry = with_valid_weight(listed.entry);
         self.entries_changed += 1;
         self.insert_into_groups(&entry);
-        self.slots[slot] = Endpoint::new(entry, listed.slow_start, fleet_mean_latency, now);
+        self.slots[slot] = EndpointBalancingState::new(entry, listed.slow_start, fleet_mean_latency, now);
     }
 
     fn apply_to_known(&mut self, slot: usize, listed: ListedEndpoint, fleet_mean_latency: f64) {
@@ -239,7 +243,8 @@
         if entry.started_at > endpoint.entry.started_at {
             endpoint.reset_after_restart(listed.slow_start, fleet_mean_latency);
         }
-        // An entry that lacks the latest start, or names an earlier one, does not make the endpoint warm.
+        // The latest known start is kept, so an entry with no start or an earlier one does not make the
+        // endpoint warm.
         entry.started_at = entry.started_at.max(endpoint.entry.started_at);
         if is_unchanged(&entry, &endpoint.entry) {
             return;
@@ -252,20 +257,21 @@
         }
     }
 
-    /// Forgets removed endpoints without attempts in flight: endpoints are ever new, and what is kept of each
-    /// would grow without end. Of a long list it forgets old traffic, too.
+    /// Forgets removed endpoints that have no attempts in flight. New endpoints keep replacing old ones, so
+    /// the state would otherwise grow without bound. If many endpoints have traffic, also drops from their
+    /// index those whose traffic is old.
     pub fn forget_removed(&mut self, now: Micros) {
         self.drop_removed();
         self.drop_old_traffic(now);
     }
 
     fn drop_removed(&mut self) {
-        let is_over = |endpoint: &Endpoint| {
+        let can_be_dropped = |endpoint: &EndpointBalancingState| {
             endpoint.entry.state == EndpointState::Removed && endpoint.in_flight.is_empty()
         };
-        let over: Vec<usize> =
-            self.inactive.values().copied().filter(|&slot| is_over(&self.slots[slot])).collect();
-        for slot in over {
+        let to_drop: Vec<usize> =
+            self.inactive.values().copied().filter(|&slot| can_be_dropped(&self.slots[slot])).collect();
+        for slot in to_drop {
             let endpoint = std::mem::take(&mut self.slots[slot]);
             self.remove_from_groups(&endpoint.entry);
             self.inactive.remove(&endpoint.entry.id);
@@ -297,7 +303,7 @@
         }
     }
 
-    /// The ring position of an endpoint, if it is active.
+    /// Returns the ring position of an endpoint, or `None` if it is not active.
     fn position(&self, id: EndpointId) -> Option<usize> {
         self.active.binary_search_by_key(&id, |active| active.id).ok()
     }
@@ -314,7 +320,7 @@
     }
 }
 
-/// The entry with a weight of 1 where it has none that can be used.
+/// Returns the entry, with a weight of 1 if its own is not finite and above 0.
 fn with_valid_weight(mut entry: EndpointEntry) -> EndpointEntry {
     if !(entry.weight.is_finite() && entry.weight > 0.0) {
         entry.weight = 1.0;
@@ -322,7 +328,7 @@
     entry
 }
 
-/// Whether two entries of an endpoint agree in all that decisions depend on.
+/// Returns whether two entries of an endpoint agree in all fields on which decisions depend.
 fn is_unchanged(new: &EndpointEntry, old: &EndpointEntry) -> bool {
     new.zone == old.zone
         && new.cell == old.cell
--- a/src/decision/balancer/failure_shares.rs
+++ b/src/decision/balancer/failure_shares.rs
@@ -1,53 +1,56 @@
-//! How often attempts fail, by kind of failure.
+//! The shares of attempts that fail, by kind of failure.
 
 use std::collections::BTreeMap;
 
 use crate::decision::estimators::DecayingMean;
 use crate::decision::{Micros, Outcome};
 
-/// Time constant of all shares of failures, in microseconds.
+/// Time constant of all shares of failures and of resets, in microseconds.
 pub(super) const FAILURE_TIME_CONSTANT: f64 = 15.0e6;
 
-/// A kind of failure that is tracked on its own. An endpoint may fail one kind of request and serve the
-/// others, and is passed over for that kind alone (outlier detection by success rate).
+/// A kind of failure that is tracked separately. An endpoint may fail one kind of request and serve the
+/// others; it is then avoided for that kind alone (outlier detection by success rate).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum FailureKind {
-    /// An error response or a rejection of a request of this class.
+    /// An error response to, or a rejection of, a request of the class with this index.
     Class(usize),
-    /// An error response or a rejection of a request of this plan.
+    /// An error response to, or a rejection of, a request of the plan with this index.
     Plan(usize),
-    /// No response in time, whatever the class and plan. A success resets the consecutive ejections, and a
-    /// node that meets an endpoint seldom would otherwise learn of each lost request anew.
+    /// No response in time, whatever the class and the plan. A success resets the consecutive ejections, so
+    /// a node that seldom sends to an endpoint would otherwise learn of each lost request as if it were the
+    /// first.
     Unanswered,
 }
 
-/// The shares of attempts that failed, at one endpoint or over all.
+/// The shares of attempts that failed, at one endpoint or over the fleet.
 #[derive(Default)]
 pub(super) struct FailureShares {
     shares: BTreeMap<FailureKind, DecayingMean>,
 }
 
 impl FailureShares {
-    /// The share of failures of a kind, 0 to 1, with `prior` as one sample of its own.
+    /// Returns the share of failures of a kind, 0 to 1. `prior` counts as one further sample; without samples
+    /// it is the share.
     pub fn share(&self, kind: FailureKind, prior: f64, now: Micros) -> f64 {
         self.shares.get(&kind).map_or(prior, |share| share.with_prior(now, prior, FAILURE_TIME_CONSTANT))
     }
 
-    /// Records whether an attempt failed in one way.
+    /// Records whether an attempt failed in one of the ways.
     pub fn record(&mut self, sample: &FailureSample, now: Micros) {
         let failures = if sample.failed { 1.0 } else { 0.0 };
         self.shares.entry(sample.kind).or_default().record(now, failures, FAILURE_TIME_CONSTANT);
     }
 }
 
-/// What an ended attempt says about one kind of failure.
+/// A sample of one kind of failure, from an ended attempt.
 pub(super) struct FailureSample {
     pub kind: FailureKind,
-    /// Whether it failed in this way.
+    /// Whether the attempt failed in this way.
     pub failed: bool,
 }
 
-/// What an ended attempt says about failures: after a success about all kinds, else about those that it met.
+/// Returns the samples that an ended attempt gives: after a success one of each kind, else one of each kind
+/// by which the attempt failed.
 pub(super) fn failure_samples(
     class: usize,
     plan: usize,
--- a/src/decision/balancer/latency_estimator.rs
+++ b/src/decision/balancer/latency_estimator.rs
@@ -1,16 +1,17 @@
-//! The response time of the fleet.
+//! Estimates of the response time over the fleet.
 
 use crate::decision::Micros;
 
-/// Weight of a new response time in the mean of an endpoint; half of it in the estimates over the fleet.
+/// Weight of a new response time in the mean of its endpoint. In the estimates over the fleet, a new
+/// response time has half this weight.
 pub(super) const LATENCY_GAIN: f64 = 0.1;
-/// The mean response time assumed before the first response, in microseconds.
+/// Mean response time that is assumed before the first response, in microseconds.
 const INITIAL_LATENCY: f64 = 100_000.0;
-/// A response time is unusual when it is this many mean deviations above the mean.
+/// A response time is unusual if it is more than this many mean deviations above the mean.
 const DEVIATIONS_TO_BOUND: f64 = 4.0;
 
-/// Mean and mean deviation of response times over all endpoints, exponentially weighted by sample, in
-/// microseconds.
+/// Mean and mean deviation of the response times over all endpoints, in microseconds. Both are exponentially
+/// weighted by sample.
 pub(super) struct LatencyEstimator {
     mean: f64,
     deviation: f64,
@@ -23,17 +24,18 @@
 }
 
 impl LatencyEstimator {
-    /// The mean response time in microseconds.
+    /// Returns the mean response time of the fleet in microseconds.
     pub fn fleet_mean_latency(&self) -> f64 {
         self.mean
     }
 
-    /// An attempt in flight for longer than this many microseconds is past what the fleet usually needs.
+    /// Returns the latency bound in microseconds: an attempt that is in flight for longer takes more time
+    /// than the fleet usually needs.
     pub fn upper_bound(&self) -> f64 {
         self.mean + DEVIATIONS_TO_BOUND * self.deviation
     }
 
-    /// Takes a response time into the estimates.
+    /// Adds a response time to the estimates.
     pub fn observe(&mut self, elapsed: Micros) {
         let sample = elapsed as f64;
         self.deviation += ((sample - self.mean).abs() - self.deviation) * LATENCY_GAIN / 2.0;
--- a/src/decision/balancer/mod.rs
+++ b/src/decision/balancer/mod.rs
@@ -1,8 +1,8 @@
-//! Load balancing: which endpoint an attempt is sent to, by subset, health, warm-up and cost.
+//! Load balancing: selects the endpoint of each attempt by subset, health, warm-up and cost.
 //!
-//! Reading order: this file, then `selection` (the rules for one endpoint), then `subset`, `slow_start`,
-//! `outlier_detection`, `recovery` and `cost`, each with one of the rules. `endpoint` and `endpoint_table`
-//! hold the state.
+//! Reading order: this file, then `selection`, which compares endpoints, then `subset`, `slow_start`,
+//! `outlier_detection`, `recovery` and `cost`, each of which holds one of the rules. `endpoint` and
+//! `endpoint_table` hold the state.
 
 mod cost;
 mod deduplication_group;
@@ -31,41 +31,42 @@
 use slow_start::{warm_fraction, SlowStart};
 use subset::Subset;
 
-pub(super) use endpoint::{Endpoint, COMPLETION_TIME_CONSTANT};
+pub(super) use endpoint::{EndpointBalancingState, COMPLETION_TIME_CONSTANT};
 
-/// An endpoint is about as fast as the others if its response time is below this multiple of theirs.
+/// An endpoint is typical if its mean response time is below this multiple of the fleet's mean.
 const TYPICAL_LATENCY_MULTIPLE: f64 = 2.0;
 
-/// The zone and cell of an endpoint: what a request keeps of it, since it may be removed meanwhile.
+/// The zone and cell of an endpoint. A request keeps this copy, because the endpoint may be removed while
+/// the request is pending.
 #[derive(Clone, Copy)]
 pub(super) struct Placement {
     pub zone: u32,
     pub cell: u32,
 }
 
-/// What an endpoint is wanted for.
+/// The attempt for which an endpoint is to be selected.
 pub(super) struct SelectionRequest {
     /// Index of the request's class in the settings.
     pub class: usize,
     /// Index of the request's plan in the settings.
     pub plan: usize,
-    /// Where the first attempt that may have run was sent, if there was one.
+    /// Zone and cell of the first attempt of the request that may have run; `None` if none may have run.
     pub first_possible_run: Option<Placement>,
-    /// An endpoint that is not to be selected.
+    /// An endpoint that must not be selected, if any.
     pub exclude: Option<EndpointId>,
 }
 
-/// The endpoint that was selected.
+/// The endpoint that was selected for an attempt.
 #[derive(Clone, Copy)]
 pub(super) struct Selection {
     pub endpoint: EndpointId,
-    /// The share of its full capacity that it has at least, 0 to 1.
+    /// The least share of its full capacity that the endpoint has, 0 to 1.
     pub warm_fraction: f64,
-    /// The test of a recovering endpoint that the attempt is, if it is one.
+    /// The kind of recovery test that the attempt is; `None` if the endpoint is not recovering.
     recovery_test: Option<RecoveryTest>,
 }
 
-/// A test of a recovering endpoint, by the idempotency of the request.
+/// The kind of a recovery test, by the idempotency of the request that it is for.
 #[derive(Clone, Copy, PartialEq)]
 enum RecoveryTest {
     OfSafeRequest,
@@ -81,7 +82,7 @@
     }
 }
 
-/// An ended attempt as a sample of the health and speed of its endpoint.
+/// The end of an attempt, as a sample of the health and the response time of its endpoint.
 pub(super) struct EndedAttemptSample {
     pub endpoint: EndpointId,
     /// Index of the request's class in the settings.
@@ -90,22 +91,23 @@
     pub plan: usize,
     pub sent_at: Micros,
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time from the start of the attempt to its end.
     pub elapsed: Micros,
 }
 
-/// What an ended attempt says about the load.
+/// What an ended attempt tells the load shedder.
 pub(super) struct RecordedAttempt {
-    /// The response time, if the endpoint is about as fast as the others.
+    /// The response time of the attempt; `None` unless the attempt succeeded at an endpoint that is about as
+    /// fast as the fleet.
     pub typical_response_time: Option<Micros>,
 }
 
-/// The endpoints, their health and load, and the selection among them.
+/// The endpoints with their health and load. Selects the endpoint of each attempt.
 #[derive(Default)]
 pub(super) struct Balancer {
     endpoints: EndpointTable,
     latency_estimator: LatencyEstimator,
-    /// How attempts end over the fleet.
+    /// Shares of failed attempts over the fleet.
     fleet_failures: FailureShares,
     outlier_detector: OutlierDetector,
     recovery_tests: RecoveryTestBudget,
@@ -113,12 +115,13 @@
 }
 
 impl Balancer {
-    /// A balancer that knows no endpoints yet.
+    /// Creates a balancer that knows no endpoints.
     pub fn new(settings: &Settings) -> Self {
         Balancer { endpoints: EndpointTable::new(&settings.classes), ..Balancer::default() }
     }
 
-    /// Applies an update of the endpoint list.
+    /// Applies an update of the endpoint list, and draws one random number for each entry. Does nothing if
+    /// the watch was lost.
     pub fn apply_update(
         &mut self,
         kind: EndpointUpdateKind,
@@ -131,7 +134,7 @@
             EndpointUpdateKind::Delta => false,
             EndpointUpdateKind::WatchLost => return,
         };
-        // Each entry draws a random number, whether or not its endpoint is new.
+        // Every entry draws a random number, even if its endpoint is known already.
         let listed = entries
             .into_iter()
             .map(|entry| ListedEndpoint { entry, slow_start: self.slow_start.new_bucket(random) })
@@ -139,13 +142,15 @@
         self.endpoints.apply(listed, is_snapshot, now, self.latency_estimator.fleet_mean_latency());
     }
 
-    /// Selects the endpoint where an attempt should do best, if any may be sent it.
+    /// Selects the endpoint that suits an attempt best. Returns `None` if no endpoint may be sent the
+    /// attempt.
     ///
-    /// The endpoints of the node's subset are examined; of a short list all of it. An endpoint is passed over
-    /// when deduplication binds the request to others, when it is warming up and not due a request, or when
-    /// it is recovering and the attempt that tests it is in flight. Of those left the best is selected by
-    /// availability, membership in the subset, warm-up and cost, in this order. If none is available,
-    /// endpoints beyond the subset are examined as well.
+    /// A short endpoint list is examined in full; of a longer one, the endpoints of the node's subset are
+    /// examined. An endpoint is skipped if the request excludes it, if deduplication binds the request to
+    /// other endpoints, if it is warming up and not due a request, or if it is recovering and its recovery
+    /// test is in flight. The remaining endpoints are compared by availability, membership in the subset,
+    /// warm-up and cost, in this order. If none of them is available, endpoints beyond the subset are
+    /// examined as well.
     pub fn select(
         &mut self,
         settings: &Settings,
@@ -156,9 +161,9 @@
         let subset = self.subset(settings, now);
         self.slow_start.set_subset_capacity(subset.capacity());
         let selector = self.selector(settings, now, request, &subset);
-        let mut best = selector.best_of_first(random);
-        if subset.leaves_a_rest() && !best.as_ref().is_some_and(Candidate::is_available) {
-            best = selector.or_better_of_rest(best, random);
+        let mut best = selector.best_of_initial(random);
+        if subset.has_unexamined_positions() && !best.as_ref().is_some_and(Candidate::is_available) {
+            best = selector.or_better_beyond_subset(best, random);
         }
         best.map(|best| Selection {
             endpoint: best.endpoint,
@@ -209,13 +214,14 @@
         }
     }
 
-    /// A request has been passed on to an endpoint, or waits for one.
+    /// Records that a request was admitted: it has been passed on to an endpoint or waits for one.
     pub fn request_launched(&mut self) {
         self.slow_start.request_launched();
         self.recovery_tests.deposit();
     }
 
-    /// An attempt starts at the selected endpoint. None if the endpoint is not known any more.
+    /// Records that an attempt starts at the selected endpoint, and returns the endpoint's zone and cell.
+    /// Returns `None` if the endpoint is no longer known.
     pub fn attempt_started(&mut self, selection: Selection, now: Micros) -> Option<Placement> {
         let endpoint = self.endpoints.attempt_started(selection.endpoint, now)?;
         self.slow_start.charge(endpoint, selection.warm_fraction);
@@ -228,7 +234,7 @@
         Some(Placement { zone: endpoint.entry.zone, cell: endpoint.entry.cell })
     }
 
-    /// Records how an attempt ended. None if the endpoint or the attempt is not known any more.
+    /// Records how an attempt ended. Returns `None` if the endpoint or the attempt is no longer known.
     pub fn attempt_ended(&mut self, now: Micros, ended: &EndedAttemptSample) -> Option<RecordedAttempt> {
         let latency_bound = self.latency_bound();
         let endpoint = self.endpoints.attempt_ended(ended.endpoint, ended.sent_at)?;
@@ -247,11 +253,11 @@
                 }
                 endpoint.record_success(ended.sent_at, ended.elapsed, now);
             }
-            // An endpoint that fails fast seems idle and quick. Its response shows that it is alive, and no
-            // more.
+            // An error response shows only that the endpoint is alive. It is no sample of the response time
+            // or of the completion rate, since an endpoint that fails fast would seem idle and fast.
             Outcome::Error => endpoint.last_response_at = now,
-            // A request whose connection was reset has left the endpoint, and overload is judged by the rate
-            // at which requests leave.
+            // A request whose connection was reset has left the endpoint. Overload is judged by the rate at
+            // which requests leave endpoints.
             Outcome::Reset if !must_eject => endpoint.record_completion(now),
             _ => {}
         }
@@ -261,7 +267,8 @@
         Some(RecordedAttempt { typical_response_time })
     }
 
-    /// Whether an attempt in flight has waited too long at an endpoint that is ejected or unresponsive.
+    /// Returns whether an attempt is stuck: it has been in flight for longer than the latency bound, at an
+    /// endpoint that is ejected or unresponsive.
     pub fn is_stuck(&self, endpoint: EndpointId, sent_at: Micros, now: Micros) -> bool {
         let latency_bound = self.latency_bound();
         let is_unavailable = self
@@ -271,7 +278,7 @@
         is_unavailable && now.saturating_sub(sent_at) as f64 > latency_bound
     }
 
-    /// Ejects an endpoint, unless it is ejected already.
+    /// Ejects an endpoint, unless it is unknown or already ejected.
     pub fn eject(&mut self, id: EndpointId, now: Micros) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.eject(now);
@@ -291,19 +298,20 @@
         }
     }
 
-    /// The mean response time of the fleet in microseconds.
+    /// Returns the mean response time of the fleet in microseconds.
     pub fn fleet_mean_latency(&self) -> f64 {
         self.latency_estimator.fleet_mean_latency()
     }
 
-    /// An attempt in flight for longer than this many microseconds is past what the fleet usually needs.
+    /// Returns the latency bound in microseconds: an attempt that is in flight for longer takes more time
+    /// than the fleet usually needs.
     pub fn latency_bound(&self) -> f64 {
         self.latency_estimator.upper_bound()
     }
 
-    /// The endpoints with traffic that are healthy and about as fast as the others, in the order of their
-    /// ids. Overload is judged by them.
-    pub fn typical_endpoints(&self, now: Micros) -> impl Iterator<Item = &Endpoint> {
+    /// Returns the endpoints with traffic that are healthy and about as fast as the fleet, in the order of
+    /// their ids. Overload is judged by these endpoints.
+    pub fn typical_endpoints(&self, now: Micros) -> impl Iterator<Item = &EndpointBalancingState> {
         let fleet_mean_latency = self.latency_estimator.fleet_mean_latency();
         let latency_bound = self.latency_bound();
         self.endpoints.with_traffic().filter(move |endpoint| {
@@ -314,17 +322,17 @@
         })
     }
 
-    /// Forgets removed endpoints without attempts in flight, and old traffic.
+    /// Forgets removed endpoints that have no attempts in flight, and old traffic.
     pub fn forget_removed(&mut self, now: Micros) {
         self.endpoints.forget_removed(now);
     }
 
-    /// How many endpoints something is kept of.
+    /// Returns the number of endpoints for which state is kept.
     pub fn retained_endpoints(&self) -> usize {
         self.endpoints.retained_count()
     }
 
-    /// How much work was done since the start.
+    /// Returns the work done since the start of the node.
     pub fn work_counters(&self) -> WorkCounters {
         WorkCounters {
             endpoints_examined: self.endpoints.endpoints_examined(),
@@ -333,14 +341,15 @@
     }
 }
 
-/// Whether an endpoint is about as fast as the fleet, whose mean response time is given.
-fn has_typical_latency(endpoint: &Endpoint, fleet_mean_latency: f64) -> bool {
+/// Returns whether an endpoint is about as fast as the fleet, whose mean response time is
+/// `fleet_mean_latency` microseconds.
+fn has_typical_latency(endpoint: &EndpointBalancingState, fleet_mean_latency: f64) -> bool {
     endpoint.latency < TYPICAL_LATENCY_MULTIPLE * fleet_mean_latency
 }
 
-/// Whether an attempt went without a response for longer than the fleet usually needs, at an endpoint that
-/// has sent no response since.
-fn is_unanswered(endpoint: &Endpoint, ended: &EndedAttemptSample, latency_bound: f64) -> bool {
+/// Returns whether an attempt ended without a response after more than `latency_bound` microseconds, and its
+/// endpoint has sent no other response since the attempt started.
+fn is_unanswered(endpoint: &EndpointBalancingState, ended: &EndedAttemptSample, latency_bound: f64) -> bool {
     matches!(ended.outcome, Outcome::TimedOut | Outcome::Cancelled)
         && no_response_since(endpoint, ended.sent_at)
         && ended.elapsed as f64 > latency_bound
--- a/src/decision/balancer/outlier_detection.rs
+++ b/src/decision/balancer/outlier_detection.rs
@@ -1,48 +1,55 @@
-//! Outlier detection: which endpoints are ejected, and for how long. `recovery` says how an ejected one is
-//! tried again.
+//! Outlier detection: decides which endpoints are ejected, and for how long. `recovery` decides how an
+//! endpoint is tested after its ejection.
 
-use super::endpoint::Endpoint;
+use super::endpoint::EndpointBalancingState;
 use super::failure_shares::FAILURE_TIME_CONSTANT;
 use super::EndedAttemptSample;
 use crate::decision::estimators::DecayingMean;
 use crate::decision::{Micros, Outcome};
 
-/// First ejection; each further one without a success in between is twice as long, up to the longest.
+/// Duration of the first ejection in microseconds. Each further ejection without a success in between is
+/// twice as long, up to the longest.
 const FIRST_EJECTION: Micros = 400_000;
 const LONGEST_EJECTION: Micros = 6_400_000;
-/// The ejection time is doubled no more often; it is at the longest by then.
+/// Upper bound of the number of doublings. The ejection time has reached the longest by then.
 const MAX_EJECTION_DOUBLINGS: u32 = 8;
-/// Consecutive connection resets eject an endpoint when so many would come by chance, at the fleet's own
-/// share of resets, less often than this...
+/// Consecutive connection resets eject an endpoint if the probability that as many occur by chance, at the
+/// fleet's share of resets, is below this value.
 const MAX_RESET_PROBABILITY: f64 = 0.01;
-/// ... and so many always do.
+/// This many consecutive connection resets always eject an endpoint.
 const MAX_CONNECTION_RESETS: u32 = 3;
-/// With up to so many attempts in flight, an endpoint may send no response for twice the latency bound.
+/// With up to this many attempts in flight, an endpoint may go twice the latency bound without a response
+/// before it counts as unresponsive.
 const FEW_IN_FLIGHT: usize = 2;
 
 /// Whether an endpoint may be sent attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Health {
-    /// It is healthy as far as is known.
+    /// As far as the node knows, it is neither ejected, recovering nor unresponsive.
     Healthy,
-    /// Its ejection is over, and it has not succeeded since: a single attempt shows whether it has recovered
-    /// (`recovery`).
+    /// Its ejection is over, and no attempt has succeeded since: a single attempt tests whether it has
+    /// recovered (`recovery`).
     Recovering,
     /// It is ejected or unresponsive.
     Unavailable,
 }
 
-/// Judges endpoints by connections that are reset or not established, and by missing responses.
+/// Decides on ejections by connections that are reset or cannot be established, and by missing responses.
 #[derive(Default)]
 pub(super) struct OutlierDetector {
-    /// The share of responses and resets over the fleet that are resets.
+    /// Of the responses and connection resets over the fleet, the share that are resets.
     connection_resets: DecayingMean,
 }
 
 impl OutlierDetector {
-    /// Takes in how an attempt ended and returns whether the endpoint is to be ejected for it. To be called
-    /// before the response itself is recorded.
-    pub fn must_eject(&mut self, endpoint: &mut Endpoint, ended: &EndedAttemptSample, now: Micros) -> bool {
+    /// Records how an attempt ended and returns whether the endpoint is to be ejected for it. Must be called
+    /// before the response is recorded in `endpoint`.
+    pub fn must_eject(
+        &mut self,
+        endpoint: &mut EndpointBalancingState,
+        ended: &EndedAttemptSample,
+        now: Micros,
+    ) -> bool {
         let resets_are_unusual = self.record_connection(endpoint, ended.outcome, now);
         match ended.outcome {
             Outcome::ConnectFailed => true,
@@ -58,11 +65,16 @@
     /// Counts connection resets and returns whether those of the endpoint are unusual.
     ///
     /// On a lossy network, or where endpoints close idle connections early, connections break at all
-    /// endpoints alike; ejected for one reset each, most of a fleet that answers would be out. So the resets
-    /// since its last response count against an endpoint by how rare resets are in the fleet, and where they
-    /// are rare one is enough. The price: where endpoints fail while many others reset, each takes two or
-    /// three more.
-    fn record_connection(&mut self, endpoint: &mut Endpoint, outcome: Outcome, now: Micros) -> bool {
+    /// endpoints alike. If each were ejected for one reset, most of a fleet that answers would be ejected.
+    /// The resets of an endpoint since its last response are therefore weighed by how rare resets are in the
+    /// fleet; where they are rare, one reset is enough. The drawback: where endpoints fail while many others
+    /// reset connections, each failed endpoint takes two or three more attempts before it is ejected.
+    fn record_connection(
+        &mut self,
+        endpoint: &mut EndpointBalancingState,
+        outcome: Outcome,
+        now: Micros,
+    ) -> bool {
         let fleet_share = self.connection_resets.with_prior(now, 0.0, FAILURE_TIME_CONSTANT);
         match outcome {
             Outcome::Reset => {
@@ -80,18 +92,18 @@
     }
 }
 
-/// Whether an endpoint has sent no response since `sent_at`.
-pub(super) fn no_response_since(endpoint: &Endpoint, sent_at: Micros) -> bool {
+/// Returns whether an endpoint has sent no response since `sent_at`.
+pub(super) fn no_response_since(endpoint: &EndpointBalancingState, sent_at: Micros) -> bool {
     endpoint.last_response_at < sent_at
 }
 
-impl Endpoint {
-    /// Whether it is ejected at `now`.
+impl EndpointBalancingState {
+    /// Returns whether the endpoint is ejected at `now`.
     pub fn is_ejected(&self, now: Micros) -> bool {
         self.ejected_until > now
     }
 
-    /// Ejects it, for longer each time. Does nothing while it is ejected.
+    /// Ejects the endpoint, for longer with each consecutive ejection. Does nothing while it is ejected.
     pub fn eject(&mut self, now: Micros) {
         if self.is_ejected(now) {
             return;
@@ -100,14 +112,17 @@
         self.ejected_until = now + self.latest_ejection_time();
     }
 
-    /// How long its latest ejection lasts; the first one, if it was never ejected.
+    /// Returns how long the latest ejection lasts, in microseconds; without consecutive ejections, how
+    /// long the first one would.
     pub(super) fn latest_ejection_time(&self) -> Micros {
         let doublings = self.consecutive_ejections.saturating_sub(1).min(MAX_EJECTION_DOUBLINGS);
         (FIRST_EJECTION << doublings).min(LONGEST_EJECTION)
     }
 
-    /// Whether it is unresponsive though requests wait: since its last response, the oldest attempt in flight
-    /// has waited for longer than `latency_bound` microseconds, or twice that where few are in flight.
+    /// Returns whether the endpoint is unresponsive while requests wait: since its last response, the oldest
+    /// attempt in flight has waited for longer than `latency_bound` microseconds, or twice that where few
+    /// attempts are in flight. Attempts that were sent before the end of the latest ejection do not count as
+    /// the oldest.
     pub fn is_unresponsive(&self, latency_bound: f64, now: Micros) -> bool {
         let Some(oldest_sent_at) = self.in_flight_since_ejection().next() else { return false };
         let unresponsive_for = now.saturating_sub(oldest_sent_at.max(self.last_response_at)) as f64;
@@ -115,7 +130,7 @@
         unresponsive_for > latency_bound * factor
     }
 
-    /// Whether it may be sent attempts.
+    /// Returns whether the endpoint may be sent attempts.
     pub(super) fn health(&self, latency_bound: f64, now: Micros) -> Health {
         if self.is_ejected(now) || self.is_unresponsive(latency_bound, now) {
             Health::Unavailable
@@ -126,7 +141,7 @@
         }
     }
 
-    /// Whether the attempt that shows if it has recovered is in flight already.
+    /// Returns whether the attempt that tests the recovery of the endpoint is in flight already.
     pub fn has_recovery_attempt_in_flight(&self) -> bool {
         self.in_flight.back().is_some_and(|&sent_at| sent_at >= self.ejected_until)
     }
--- a/src/decision/balancer/selection.rs
+++ b/src/decision/balancer/selection.rs
@@ -1,8 +1,8 @@
-//! The rules by which one endpoint is preferred over another for an attempt.
+//! The rules by which one endpoint is preferred to another for an attempt.
 
 use super::cost::CostModel;
 use super::deduplication_group::DeduplicationGroup;
-use super::endpoint::Endpoint;
+use super::endpoint::EndpointBalancingState;
 use super::endpoint_table::EndpointTable;
 use super::outlier_detection::Health;
 use super::recovery::RecoveryTestBudget;
@@ -11,32 +11,34 @@
 use crate::decision::estimators::RandomSource;
 use crate::decision::{EndpointId, Idempotency, Micros, Settings};
 
-/// Whether an endpoint is expected to respond. The lesser is preferred.
+/// Whether an endpoint is expected to respond. The lesser value is preferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Availability {
     Available,
-    /// It is recovering, and the request may not test it: it gets the request only if nothing is available.
+    /// It is recovering, and the request may not test it: it is sent the request only if no endpoint is
+    /// available.
     Untested,
     Unavailable,
 }
 
-/// Where an endpoint is. The lesser is preferred.
+/// Whether an endpoint counts as part of the node's subset. The lesser value is preferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Location {
     InSubset,
-    Elsewhere,
+    OutsideSubset,
 }
 
-/// Whether slow start gives an endpoint precedence. The lesser is preferred.
+/// Whether slow start gives an endpoint precedence. The lesser value is preferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Precedence {
-    /// It is warming up and due a request: by cost it would always lose to the best of the warm ones, which
-    /// would be overloaded.
+    /// It is warming up and due a request. By cost it would always lose to the best of the warm endpoints,
+    /// which would be overloaded.
     WarmingUpAndDue,
     Ordinary,
 }
 
-/// How well an endpoint suits an attempt. The least is preferred; the fields count in this order.
+/// How well an endpoint suits an attempt. The least value is preferred; the fields are compared in this
+/// order.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 struct Preference {
     availability: Availability,
@@ -49,19 +51,20 @@
 #[derive(Clone, Copy)]
 pub(super) struct Candidate {
     pub endpoint: EndpointId,
+    /// The least share of its full capacity that the endpoint has, 0 to 1.
     pub warm_fraction: f64,
-    /// The endpoint is recovering: the attempt shows whether it serves again.
+    /// The endpoint is recovering, so the attempt tests whether it serves again.
     pub is_recovery_test: bool,
     preference: Preference,
 }
 
 impl Candidate {
-    /// Whether it is expected to respond.
+    /// Returns whether the endpoint is expected to respond.
     pub fn is_available(&self) -> bool {
         self.preference.availability == Availability::Available
     }
 
-    /// The preferred of two candidates; the earlier if they are alike.
+    /// Returns the preferred of two candidates, `best` if they are equal.
     fn or_better(best: Option<Candidate>, other: Candidate) -> Candidate {
         match best {
             Some(best) if other.preference < best.preference => other,
@@ -71,38 +74,44 @@
     }
 }
 
-/// Selects among endpoints for one attempt.
+/// Selects an endpoint for one attempt.
 pub(super) struct Selector<'a> {
     pub settings: &'a Settings,
     pub now: Micros,
     pub endpoints: &'a EndpointTable,
     pub subset: &'a Subset,
     pub slow_start: &'a SlowStart,
-    /// Mean response time of the fleet and the bound past which a response is late, in microseconds.
+    /// Mean response time of the fleet in microseconds.
     pub fleet_mean_latency: f64,
+    /// The time in microseconds after which a response is late.
     pub latency_bound: f64,
     pub cost_model: CostModel<'a>,
-    /// The group of endpoints that the attempt is bound to, if an earlier one may have run.
+    /// The deduplication group to which the attempt is bound, if an earlier attempt may have run.
     pub bound_to: Option<DeduplicationGroup>,
-    /// An endpoint that is not to be selected.
+    /// An endpoint that must not be selected, if any.
     pub exclude: Option<EndpointId>,
     /// The idempotency of the request's class.
     pub idempotency: Idempotency,
-    /// The tests of recovering endpoints that requests which are not safe have left.
+    /// The budget of recovery tests by requests that are not safe.
     pub recovery_tests: &'a RecoveryTestBudget,
 }
 
 impl Selector<'_> {
-    /// The best of the endpoints that are examined for each attempt.
-    pub fn best_of_first(&self, random: &mut RandomSource) -> Option<Candidate> {
+    /// Returns the best of the endpoints that are examined for each attempt, or `None` if none of them may be
+    /// sent this one.
+    pub fn best_of_initial(&self, random: &mut RandomSource) -> Option<Candidate> {
         self.best_of(self.subset.positions_to_examine(), None, random)
     }
 
-    /// The better of `best` and the endpoints beyond the subset: for an attempt that is bound to a group all
-    /// of the group, else a sample.
-    pub fn or_better_of_rest(&self, best: Option<Candidate>, random: &mut RandomSource) -> Option<Candidate> {
-        // The sample draws a random number though a bound attempt does not use it.
-        let sample = self.subset.sample_of_rest(random);
+    /// Returns the best of `best` and endpoints beyond the subset: all endpoints of the group for an attempt
+    /// that is bound to a group, else a sample.
+    pub fn or_better_beyond_subset(
+        &self,
+        best: Option<Candidate>,
+        random: &mut RandomSource,
+    ) -> Option<Candidate> {
+        // The sample draws a random number even though a bound attempt does not use the sample.
+        let sample = self.subset.sample_beyond_subset(random);
         match self.bound_to {
             Some(group) => {
                 let of_group = self.endpoints.positions_of(group);
@@ -127,8 +136,8 @@
         best
     }
 
-    /// The endpoint at a ring position as a candidate, if it may be sent the attempt.
-    // Inlined, since it runs for each endpoint that is examined.
+    /// Returns the endpoint at a ring position as a candidate, or `None` if it may not be sent the attempt.
+    // Inlined, since it runs for every endpoint that is examined.
     #[inline(always)]
     fn candidate(&self, position: usize, random: &mut RandomSource) -> Option<Candidate> {
         let endpoint = self.endpoints.at(position);
@@ -157,15 +166,15 @@
         })
     }
 
-    /// Whether the attempt may go to an endpoint at all.
-    fn is_allowed(&self, endpoint: &Endpoint) -> bool {
-        let in_bounds = self.bound_to.is_none_or(|group| group.contains(&endpoint.entry));
-        in_bounds && Some(endpoint.entry.id) != self.exclude
+    /// Returns whether neither deduplication nor the request rules out the endpoint.
+    fn is_allowed(&self, endpoint: &EndpointBalancingState) -> bool {
+        let in_bound_group = self.bound_to.is_none_or(|group| group.contains(&endpoint.entry));
+        in_bound_group && Some(endpoint.entry.id) != self.exclude
     }
 
-    /// Whether the endpoint is expected to respond to this attempt; none if it may not be sent it, since the
-    /// attempt that shows if it has recovered is in flight.
-    fn availability(&self, endpoint: &Endpoint, health: Health) -> Option<Availability> {
+    /// Returns whether the endpoint is expected to respond to this attempt. Returns `None` if the endpoint
+    /// may not be sent the attempt, since the attempt that tests its recovery is in flight.
+    fn availability(&self, endpoint: &EndpointBalancingState, health: Health) -> Option<Availability> {
         match health {
             Health::Healthy => Some(Availability::Available),
             Health::Unavailable => Some(Availability::Unavailable),
@@ -177,18 +186,19 @@
         }
     }
 
-    /// An ejected endpoint in the subset counts as elsewhere: the next ones on the ring stand in for it, and
-    /// it is to be no better than other unavailable endpoints beyond the subset.
-    fn location(&self, endpoint: &Endpoint, position: usize) -> Location {
+    /// Returns whether the endpoint counts as part of the subset. An ejected endpoint within the subset
+    /// counts as outside: the next endpoints on the ring replace it, and it must not be preferred to other
+    /// unavailable endpoints beyond the subset.
+    fn location(&self, endpoint: &EndpointBalancingState, position: usize) -> Location {
         if !endpoint.is_ejected(self.now) && self.subset.contains(position) {
             Location::InSubset
         } else {
-            Location::Elsewhere
+            Location::OutsideSubset
         }
     }
 }
 
-fn precedence(endpoint: &Endpoint, location: Location, warm_fraction: f64) -> Precedence {
+fn precedence(endpoint: &EndpointBalancingState, location: Location, warm_fraction: f64) -> Precedence {
     if location == Location::InSubset && warm_fraction < 1.0 && endpoint.consecutive_ejections == 0 {
         Precedence::WarmingUpAndDue
     } else {
--- a/src/decision/balancer/slow_start.rs
+++ b/src/decision/balancer/slow_start.rs
@@ -1,66 +1,68 @@
-//! Slow start: an endpoint that has just started is sent its share of the load as it warms up.
+//! Slow start: an endpoint that has just started is sent a share of the load that grows as it warms up.
 //!
-//! Too many requests overload an endpoint that is warming up. A node gives such an endpoint no more than the
-//! warm fraction of what an endpoint that is warm was due meanwhile, so that the sum over all nodes stays at
-//! the warm fraction too.
+//! Too many requests overload an endpoint that is warming up. A node sends such an endpoint at most the warm
+//! fraction of the requests that a warm endpoint was due in the same time, so the sum over all nodes also
+//! stays at the warm fraction.
 
-use super::endpoint::Endpoint;
+use super::endpoint::EndpointBalancingState;
 use crate::decision::estimators::{RandomSource, TokenBucket, MICROS_PER_SECOND};
 use crate::decision::{Micros, WarmUp};
 
-/// An endpoint that is no slower than the fleet gets up to this much of its guaranteed share; at most half
-/// the overload multiple.
-const MAX_EAGERNESS: f64 = 1.5;
-/// Most requests that are saved up for an endpoint that is warming up.
+/// Greatest factor on the guaranteed share of capacity of an endpoint that is faster than the fleet. The
+/// factor is half the overload multiple where that is less, but not below 1.
+const MAX_SPEED_FACTOR: f64 = 1.5;
+/// The most requests that the slow-start bucket of an endpoint holds.
 const MAX_SAVED_REQUESTS: f64 = 1.5;
 
-/// Counts the requests that a warm endpoint of the subset was due. The buckets of endpoints that are warming
-/// up take this count in place of a time, so that they refill by requests: what is a second to a bucket
-/// elsewhere is one request here.
+/// Counts the requests that a warm endpoint of the subset was due. The token buckets of endpoints that are
+/// warming up use this count in place of the time, so they refill by requests: one request here is what a
+/// second is to other token buckets.
 #[derive(Default)]
 pub(super) struct SlowStart {
-    /// What a warm endpoint was due since the start, in millionths of a request.
+    /// The requests that a warm endpoint was due since the start of the node, in millionths of a request.
     due_micro_requests: u64,
-    /// Sum of the warm fractions of the subset.
+    /// Sum of the warm fractions of the subset's endpoints.
     subset_capacity: f64,
 }
 
 impl SlowStart {
-    /// Takes in the capacity of the subset, in warm endpoints.
+    /// Sets the capacity of the subset, in units of one warm endpoint.
     pub fn set_subset_capacity(&mut self, subset_capacity: f64) {
         self.subset_capacity = subset_capacity;
     }
 
-    /// One more request was passed on: a warm endpoint was due its part of it.
+    /// Counts an admitted request: a warm endpoint was due its share of the request.
     pub fn request_launched(&mut self) {
         self.due_micro_requests += (MICROS_PER_SECOND / self.subset_capacity.max(1.0)) as u64;
     }
 
-    /// The bucket of an endpoint that starts now. It holds a random part of a request: a full one at each
-    /// node would at once overload an endpoint that is warming up.
+    /// Creates the bucket of an endpoint that starts now, and draws one random number. The bucket holds a
+    /// random fraction of a request: if it held a full request at each node, the nodes together would at once
+    /// overload an endpoint that is warming up.
     pub fn new_bucket(&self, random: &mut RandomSource) -> TokenBucket {
         TokenBucket::new(random.uniform(), self.due_micro_requests)
     }
 
-    /// Whether an endpoint may be sent a request now, as far as it is still warming up.
-    pub fn admits(&self, endpoint: &Endpoint, warm_fraction: f64) -> bool {
+    /// Returns whether slow start allows an endpoint to be sent a request now; always for a warm endpoint.
+    pub fn admits(&self, endpoint: &EndpointBalancingState, warm_fraction: f64) -> bool {
         warm_fraction >= 1.0
             || endpoint.slow_start.uncapped_tokens(self.due_micro_requests, warm_fraction) >= 1.0
     }
 
-    /// Charges an endpoint for a request.
-    pub fn charge(&self, endpoint: &mut Endpoint, warm_fraction: f64) {
+    /// Takes a request out of the bucket of an endpoint.
+    pub fn charge(&self, endpoint: &mut EndpointBalancingState, warm_fraction: f64) {
         endpoint.slow_start.refill(self.due_micro_requests, warm_fraction, MAX_SAVED_REQUESTS);
         endpoint.slow_start.take(1.0);
     }
 }
 
-/// The share of its full capacity that an endpoint has by now at least, 0 to 1: it rises with the time since
-/// its start, faster if the endpoint responds faster than the fleet, whose mean is `fleet_mean_latency`
-/// microseconds.
+/// Returns the least share of its full capacity that an endpoint has at `now`, 0 to 1. The share rises with
+/// the time since the endpoint's start; it is greater if the endpoint responds faster than the fleet, whose
+/// mean response time is `fleet_mean_latency` microseconds. Without a start time or a warm-up duration it is
+/// 1.
 pub(super) fn warm_fraction(
     rules: &WarmUp,
-    endpoint: &Endpoint,
+    endpoint: &EndpointBalancingState,
     fleet_mean_latency: f64,
     now: Micros,
 ) -> f64 {
@@ -69,7 +71,7 @@
         return 1.0;
     }
     let progress = now.saturating_sub(started_at) as f64 / rules.duration as f64;
-    let max_eagerness = MAX_EAGERNESS.min(rules.overload_multiple / 2.0).max(1.0);
-    let eagerness = if endpoint.latency < fleet_mean_latency { max_eagerness } else { 1.0 };
-    (eagerness * (rules.initial_fraction + (1.0 - rules.initial_fraction) * progress)).min(1.0)
+    let max_speed_factor = MAX_SPEED_FACTOR.min(rules.overload_multiple / 2.0).max(1.0);
+    let speed_factor = if endpoint.latency < fleet_mean_latency { max_speed_factor } else { 1.0 };
+    (speed_factor * (rules.initial_fraction + (1.0 - rules.initial_fraction) * progress)).min(1.0)
 }
--- a/src/decision/balancer/subset.rs
+++ b/src/decision/balancer/subset.rs
@@ -1,43 +1,43 @@
 //! Deterministic subsetting: each node sends to a part of the endpoints.
 //!
-//! In a large fleet, a node that sent to all endpoints would meet each so seldom that it pays for a handshake
-//! each time and learns of a failure only by being harmed. The active endpoints, in the order of their ids,
-//! form a ring that is the same at all nodes. The nodes' first positions are spread evenly over it, so each
-//! endpoint is in as many subsets as any other. The next ones on the ring stand in for those that are
-//! ejected.
+//! In a large fleet, a node that sent to all endpoints would send to each so seldom that every attempt needs
+//! a new handshake, and that the node learns of a failure only from requests that the failure harms. The
+//! active endpoints, in the order of their ids, form a ring that is the same at all nodes. The nodes' first
+//! positions are spread evenly over the ring, so each endpoint is in as many subsets as any other. The next
+//! endpoints on the ring replace those that are ejected.
 
 use std::ops::Range;
 
-use super::endpoint::Endpoint;
+use super::endpoint::EndpointBalancingState;
 use super::endpoint_table::{EndpointTable, MAX_EXAMINED};
 use crate::decision::estimators::RandomSource;
 use crate::decision::{Micros, Settings};
 
-/// Nodes that share an endpoint at least: enough that their loads even out.
+/// The least number of nodes that share an endpoint: enough for their loads to even out.
 const MIN_NODES_PER_ENDPOINT: usize = 24;
-/// Endpoints that a node uses at least: enough that some are left when a third is lost.
+/// The least number of endpoints that a node uses: enough for some to be left when a third is lost.
 const MIN_SUBSET_SIZE: usize = 12;
 
-/// The part of the ring that this node sends to at one point in time.
+/// The part of the ring to which this node sends at one point in time.
 pub(super) struct Subset {
-    /// Size of the ring: how many endpoints are active.
+    /// Size of the ring, which is the number of active endpoints.
     ring_size: usize,
-    /// The position on the ring where the subset begins.
+    /// The ring position at which the subset begins.
     first_position: usize,
-    /// Positions from the first one on that the subset spans, with the ejected endpoints among them.
+    /// Number of positions that the subset spans, including those of ejected endpoints.
     span: usize,
-    /// Sum of the warm fractions of its endpoints.
+    /// Sum of the warm fractions of the subset's endpoints.
     capacity: f64,
 }
 
 impl Subset {
-    /// The subset at `now`: from the node's first position on, as many endpoints as it needs that are not
-    /// ejected.
+    /// Returns the subset at `now`: from the node's first position on, as many endpoints that are not ejected
+    /// as the node needs, or all of them if there are fewer.
     pub fn at(
         now: Micros,
         settings: &Settings,
         endpoints: &EndpointTable,
-        warm_fraction: impl Fn(&Endpoint) -> f64,
+        warm_fraction: impl Fn(&EndpointBalancingState) -> f64,
     ) -> Subset {
         let ring_size = endpoints.active_count();
         let node_count = settings.node_count.max(1) as usize;
@@ -60,17 +60,18 @@
         subset
     }
 
-    /// Capacity of the subset, in warm endpoints.
+    /// Returns the capacity of the subset, in units of one warm endpoint.
     pub fn capacity(&self) -> f64 {
         self.capacity
     }
 
-    /// Whether a position of the ring is within the subset.
+    /// Returns whether a position of the ring is within the subset's span, ejected endpoints included.
     pub fn contains(&self, position: usize) -> bool {
         (position + self.ring_size - self.first_position) % self.ring_size < self.span
     }
 
-    /// The positions that are examined for each attempt.
+    /// Returns the positions that are examined for each attempt: all of a short ring, else those of the
+    /// subset.
     pub fn positions_to_examine(&self) -> Range<usize> {
         if self.ring_size <= MAX_EXAMINED {
             0..self.ring_size
@@ -79,14 +80,14 @@
         }
     }
 
-    /// Whether endpoints are left that are not examined for each attempt.
-    pub fn leaves_a_rest(&self) -> bool {
+    /// Returns whether the ring has positions that are not examined for each attempt.
+    pub fn has_unexamined_positions(&self) -> bool {
         self.positions_to_examine().len() < self.ring_size
     }
 
-    /// A sample of the positions beyond the subset, evenly spaced from a random start. Neighbours on the ring
-    /// may fail together, hence from all round it.
-    pub fn sample_of_rest(&self, random: &mut RandomSource) -> impl Iterator<Item = usize> {
+    /// Returns a sample of the positions beyond the subset, evenly spaced from a random start. The sample is
+    /// taken from all around the ring, since neighbours on it may fail together. Draws one random number.
+    pub fn sample_beyond_subset(&self, random: &mut RandomSource) -> impl Iterator<Item = usize> {
         let step = (self.ring_size - self.span).div_ceil(MAX_EXAMINED);
         let start = self.span + (random.uniform() * step as f64) as usize;
         let first_position = self.first_position;
--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -1,6 +1,6 @@
 //! Load shedding: the response time that a new request can expect, and whether it is rejected for it.
 
-use super::balancer::{Balancer, Endpoint, COMPLETION_TIME_CONSTANT};
+use super::balancer::{Balancer, EndpointBalancingState, COMPLETION_TIME_CONSTANT};
 use super::estimators::{DecayingMean, MICROS_PER_SECOND};
 use super::{Micros, NewRequest, Settings, TICK};
 
@@ -133,7 +133,7 @@
 /// How many attempts an endpoint works at. Those that were sent before its latest ejection ended, or got lost
 /// while later ones were answered, stay in flight until their clients disconnect, and one or two would look
 /// like a full fleet. The price: where single requests take much longer than others, these are not counted.
-fn attempts_being_served(endpoint: &Endpoint, latency_bound: f64) -> usize {
+fn attempts_being_served(endpoint: &EndpointBalancingState, latency_bound: f64) -> usize {
     let lost_before = endpoint.last_success_sent_at.saturating_sub(latency_bound as Micros);
     endpoint.in_flight_since_ejection().filter(|&sent_at| sent_at >= lost_before).count()
 }
