--- a/tests/balancer_scaling.rs
+++ b/tests/balancer_scaling.rs
@@ -1,5 +1,5 @@
-//! Balancing at a hundred nodes, each of which sees little of the load: chance, slow start, subsets,
-//! overload.
+//! Balancing by one of many nodes, each of which gets a small part of the load: random selection, failures,
+//! slow start, subsets and load shedding.
 
 mod common;
 
@@ -14,8 +14,8 @@
     Micros, Outcome, Settings,
 };
 
-/// Settings of one of a hundred nodes, without quota.
-fn one_of_a_hundred() -> Settings {
+/// Returns settings without a quota for one of a hundred nodes.
+fn hundred_node_settings() -> Settings {
     Settings { node_count: 100, ..settings_without_quota() }
 }
 
@@ -30,7 +30,7 @@
     (0..count).map(|id| endpoint_entry(id, EndpointState::Active, 0)).collect()
 }
 
-/// Ends the first attempt of a request so long after its start.
+/// Ends the first attempt of a request `elapsed` microseconds after its start.
 fn end_after(node: &mut NodeUnderTest, attempt: &StartedAttempt, outcome: Outcome, elapsed: Micros) {
     node.event(Event::AttemptEnded(EndedAttempt {
         request: attempt.request.clone(),
@@ -49,7 +49,7 @@
         weight: if id < 2 { 3.0 } else { 2.0 },
         ..endpoint_entry(id, EndpointState::Active, 0)
     };
-    let mut node = node_with_seed(3, one_of_a_hundred(), (0..4).map(weighted).collect());
+    let mut node = node_with_seed(3, hundred_node_settings(), (0..4).map(weighted).collect());
     let mut to_small = 0;
     for _ in 0..200 {
         node.advance(200 * MILLISECOND);
@@ -57,14 +57,17 @@
         to_small += usize::from(attempt.endpoint.0 >= 2);
         node.complete(&attempt);
     }
-    assert!((50..=110).contains(&to_small), "{to_small} of 200 to the endpoints with 2 fifths of the weight");
+    assert!(
+        (50..=110).contains(&to_small),
+        "{to_small} of 200 requests went to the endpoints with two fifths of the weight; expected 50 to 110"
+    );
 }
 
 #[test]
 fn endpoints_that_fail_one_class_are_avoided_for_that_class_alone() {
-    let mut node = node_with_seed(3, one_of_a_hundred(), warm_endpoints(4));
+    let mut node = node_with_seed(3, hundred_node_settings(), warm_endpoints(4));
     let mut failed = 0;
-    let mut of_other_class = 0;
+    let mut safe_at_failing = 0;
     for number in 0..300 {
         node.advance(100 * MILLISECOND);
         let class = if number % 2 == 0 { NON_IDEMPOTENT } else { SAFE };
@@ -74,15 +77,21 @@
         node.end_attempt(&attempt, 0, if fails { Outcome::Error } else { Outcome::Ok });
         if number >= 100 {
             failed += usize::from(fails);
-            of_other_class += usize::from(class == SAFE && is_at_failing_endpoint);
+            safe_at_failing += usize::from(class == SAFE && is_at_failing_endpoint);
         }
     }
-    assert!(failed <= 20, "{failed} of 100 non-idempotent requests went to endpoints that fail them");
-    assert!(of_other_class >= 5, "{of_other_class} of 100 safe requests went there, where they are served");
+    assert!(
+        failed <= 20,
+        "{failed} of 100 non-idempotent requests went to endpoints that fail them; expected at most 20"
+    );
+    assert!(
+        safe_at_failing >= 5,
+        "{safe_at_failing} of 100 safe requests went to these endpoints, which serve them; expected 5 or more"
+    );
 }
 
 #[test]
-fn many_nodes_do_not_each_send_a_cold_endpoint_a_request_at_once() {
+fn nodes_do_not_all_send_a_request_to_a_cold_endpoint_at_once() {
     let mut to_warming = 0;
     for seed in 0..200 {
         let started_at = 100 * SECOND - MILLISECOND;
@@ -98,8 +107,12 @@
             node.complete(&attempt);
         }
     }
-    // A warm one gets 1,000 / 3.2 in that second, and 0.2 to 0.25 of its capacity is sure.
-    assert!(to_warming <= 70, "{to_warming} requests in the first second");
+    // A warm endpoint gets 1,000 / 3.2 requests in that second. The cold endpoint is sure to have 0.2 to 0.25
+    // of the capacity of a warm one.
+    assert!(
+        to_warming <= 70,
+        "{to_warming} requests to the cold endpoint in its first second; expected up to 70"
+    );
 }
 
 #[test]
@@ -115,7 +128,7 @@
         let settings = Settings { node_count: 50, node_index: seed as u32, ..settings_without_quota() };
         let mut node = node_with_seed(seed, settings, (0..60).map(entry).collect());
         let mut in_flight = VecDeque::new();
-        // Six requests a second, one of them in flight at any time.
+        // The node gets six requests a second and has one in flight at any time.
         for _ in 0..36 {
             node.advance(167 * MILLISECOND);
             let attempt = node.request_started(SAFE);
@@ -123,27 +136,30 @@
             to_warming += usize::from(is_warming(attempt.endpoint.0));
             in_flight.push_back(attempt);
             if in_flight.len() > 1 {
-                let oldest = in_flight.pop_front().expect("one is in flight");
+                let oldest = in_flight.pop_front().expect("an attempt in flight");
                 node.complete(&oldest);
             }
         }
     }
-    // In 6 s a third of the endpoints rises from 0.2 to 0.52 of its capacity: 7 of 47 parts, with slack both
-    // ways.
+    // Within 6 s a third of the endpoints warms up from 0.2 to 0.52 of its capacity. This is 7 of 47 parts of
+    // the capacity of all; the bounds leave slack on both sides.
     let share = f64::from(to_warming as u32) / f64::from(to_all as u32);
-    assert!((0.09..=0.25).contains(&share), "{share:.3} of {to_all} requests to the warming third");
+    assert!(
+        (0.09..=0.25).contains(&share),
+        "{share:.3} of {to_all} requests went to the warming third of the endpoints; expected 0.09 to 0.25"
+    );
 }
 
 #[test]
-fn endpoint_that_leaves_some_requests_unanswered_is_avoided_from_the_first_on() {
-    let mut node = node_with_seed(3, one_of_a_hundred(), warm_endpoints(12));
+fn endpoint_that_drops_every_other_request_is_avoided() {
+    let mut node = node_with_seed(3, hundred_node_settings(), warm_endpoints(12));
     let failing = EndpointId(4);
     let mut received = 0;
     for _ in 0..400 {
         node.advance(150 * MILLISECOND);
         let attempt = node.request_started(SAFE);
         received += u32::from(attempt.endpoint == failing);
-        // The first of every two requests is never answered; its client disconnects.
+        // The endpoint never answers the first of every two requests, and the client disconnects.
         let is_unanswered = attempt.endpoint == failing && received % 2 == 1;
         if is_unanswered {
             end_after(&mut node, &attempt, Outcome::TimedOut, 2 * SECOND);
@@ -151,15 +167,18 @@
             end_after(&mut node, &attempt, Outcome::Ok, 100 * MILLISECOND);
         }
     }
-    // By chance it would get 33. As failures are forgotten within the minute, it can show whether it has
-    // recovered.
-    assert!((1..=10).contains(&received), "{received} of 400 requests to the endpoint that drops half");
+    // With random selection the endpoint would get 33 requests. Failures are forgotten within the minute, so
+    // it still gets requests that show whether it has recovered.
+    assert!(
+        (1..=10).contains(&received),
+        "{received} of 400 requests went to the endpoint that drops half of them; expected 1 to 10"
+    );
 }
 
-/// The endpoints, of 60, that one of a hundred nodes sends 200 requests to. If so said, endpoints 3 to 8
-/// cannot be connected to.
+/// Returns the endpoints, of 60, to which one of a hundred nodes sends 200 requests. With `has_failures`,
+/// connections to endpoints 3 to 8 cannot be established.
 fn endpoints_in_use(node_index: u32, has_failures: bool) -> BTreeSet<u64> {
-    let settings = Settings { node_index, ..one_of_a_hundred() };
+    let settings = Settings { node_index, ..hundred_node_settings() };
     let mut node = node_with_seed(u64::from(node_index) + 9, settings, warm_endpoints(60));
     let mut in_use = BTreeSet::new();
     for _ in 0..200 {
@@ -173,30 +192,37 @@
 }
 
 #[test]
-fn each_of_a_hundred_nodes_uses_few_endpoints_and_together_they_use_all_alike() {
+fn each_node_uses_few_endpoints_and_all_endpoints_are_used_evenly() {
     let mut node_counts = [0; 60];
     for node_index in 0..100 {
         let in_use = endpoints_in_use(node_index, false);
-        assert!(in_use.len() <= 24, "node {node_index} uses {} of 60 endpoints", in_use.len());
+        assert!(
+            in_use.len() <= 24,
+            "node {node_index} uses {} of 60 endpoints; expected at most 24",
+            in_use.len()
+        );
         for endpoint in in_use {
             node_counts[endpoint as usize] += 1;
         }
     }
     let least = node_counts.iter().min();
     let most = node_counts.iter().max();
-    assert!(least >= Some(&20) && most <= Some(&28), "nodes that use an endpoint: {node_counts:?}");
+    assert!(
+        least >= Some(&20) && most <= Some(&28),
+        "nodes that use each endpoint: {node_counts:?}; expected 20 to 28"
+    );
 }
 
 #[test]
-fn next_endpoints_on_the_ring_stand_in_for_those_that_are_ejected() {
-    let has_stand_in = |in_use: &BTreeSet<u64>| in_use.iter().any(|&endpoint| endpoint >= 15);
-    assert!(!has_stand_in(&endpoints_in_use(0, false)));
-    assert!(has_stand_in(&endpoints_in_use(0, true)));
+fn next_endpoints_on_the_ring_replace_ejected_ones() {
+    let uses_replacement = |in_use: &BTreeSet<u64>| in_use.iter().any(|&endpoint| endpoint >= 15);
+    assert!(!uses_replacement(&endpoints_in_use(0, false)));
+    assert!(uses_replacement(&endpoints_in_use(0, true)));
 }
 
 #[test]
-fn few_slow_responses_from_an_idle_fleet_shed_no_load() {
-    let mut node = node_with_seed(3, one_of_a_hundred(), warm_endpoints(60));
+fn few_slow_responses_of_an_idle_fleet_cause_no_load_shedding() {
+    let mut node = node_with_seed(3, hundred_node_settings(), warm_endpoints(60));
     let mut rejected = 0;
     for _ in 0..8 {
         node.advance(500 * MILLISECOND);
@@ -205,11 +231,11 @@
             rejected += 1;
             continue;
         };
-        // A few in a row that take more than the share of their objective from which on a full fleet sheds
-        // load.
+        // Each of these few responses in a row takes more than the share of its latency objective from which
+        // on a full fleet sheds load.
         node.advance(400 * MILLISECOND);
         end_after(&mut node, &attempt, Outcome::Ok, 400 * MILLISECOND);
         node.tick();
     }
-    assert_eq!(rejected, 0, "of 8 requests, one at a time, to an idle fleet");
+    assert_eq!(rejected, 0, "rejected of 8 requests that were sent one at a time to an idle fleet");
 }
--- a/tests/endpoint_health.rs
+++ b/tests/endpoint_health.rs
@@ -1,4 +1,4 @@
-//! Health of endpoints: those that warm up, answer nothing or reset connections, and those that recover.
+//! Health of endpoints: how a node treats those that warm up, do not respond, reset connections or recover.
 
 mod common;
 
@@ -22,12 +22,17 @@
         to_warming_up += usize::from(attempt.endpoint == EndpointId(3));
         node.complete(&attempt);
     }
-    // Its sure share is 0.2 to 0.28 of a warm one's here: a fourth of 150 / 4, with slack.
-    assert!(to_warming_up <= total / 4 / 3, "{to_warming_up} of {total} while an overload would fail it");
+    // In this time the guaranteed capacity of the endpoint is 0.2 to 0.28 of a warm one's, so about a fourth
+    // of 150 / 4 requests is due to it. The bound leaves slack.
+    assert!(
+        to_warming_up <= total / 4 / 3,
+        "{to_warming_up} of {total} requests went to the endpoint that warms up; expected at most a twelfth, \
+         since an overload would fail it"
+    );
 }
 
 #[test]
-fn endpoint_that_answers_nothing_is_left_alone() {
+fn unresponsive_endpoint_gets_few_requests() {
     let mut node = NodeUnderTest::new(settings_without_quota(), 4);
     let mut to_unresponsive = 0;
     for step in 0..400 {
@@ -40,7 +45,10 @@
             node.complete(&attempt);
         }
     }
-    assert!(to_unresponsive <= 6, "{to_unresponsive} of the last 200 went to the unresponsive endpoint");
+    assert!(
+        to_unresponsive <= 6,
+        "{to_unresponsive} of the last 200 requests went to the unresponsive endpoint; expected at most 6"
+    );
 }
 
 #[test]
@@ -58,7 +66,10 @@
             node.end_attempt(&retry, 1, Outcome::Ok);
         }
     }
-    assert!((1..=8).contains(&to_failed), "{to_failed} of the last 300 went to the failed endpoint");
+    assert!(
+        (1..=8).contains(&to_failed),
+        "{to_failed} of the last 300 requests went to the failed endpoint; expected 1 to 8"
+    );
 }
 
 #[test]
@@ -69,7 +80,7 @@
         let attempt = node.request_started(SAFE);
         node.complete(&attempt);
     }
-    // The attempts of these requests never end.
+    // Sends non-idempotent requests, whose attempts never end, until one goes to endpoint 1.
     while node.request_started(NON_IDEMPOTENT).endpoint != EndpointId(1) {}
     let mut to_recovered = 0;
     for _ in 0..75 {
@@ -79,5 +90,8 @@
         to_recovered += usize::from(attempt.endpoint == EndpointId(1));
         node.complete(&attempt);
     }
-    assert!(to_recovered > 20, "{to_recovered} of 75 in 1.5 s went to the recovered endpoint");
+    assert!(
+        to_recovered > 20,
+        "{to_recovered} of 75 requests within 1.5 s went to the recovered endpoint; expected more than 20"
+    );
 }
--- a/tests/endpoint_recovery.rs
+++ b/tests/endpoint_recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery of ejected endpoints, by the idempotency of the requests that a node gets.
+//! Recovery of ejected endpoints, for requests of each idempotency.
 
 mod common;
 
@@ -10,28 +10,29 @@
 };
 use edge_node::decision::{EndpointId, EndpointState, Micros, Outcome};
 
-/// Requests come this far apart: 50 a second.
+/// The time between two requests, which gives 50 requests a second.
 const REQUEST_INTERVAL: Micros = 20 * MILLISECOND;
-/// The longest ejection.
+/// The longest duration of an ejection.
 const LONGEST_EJECTION: Micros = 6_400 * MILLISECOND;
-/// The longest time for which an endpoint whose ejection is over is left to safer requests.
+/// The longest time for which an endpoint is reserved for safer requests after its ejection.
 const LONGEST_WAIT_FOR_SAFER_REQUESTS: Micros = LONGEST_EJECTION;
 
-/// An attempt that ended, and what it was for.
-struct Ended {
+/// The result of an attempt.
+struct AttemptResult {
+    /// Index of the request's class in the settings.
     class: usize,
     endpoint: EndpointId,
-    /// When it ended, since the fleet's start.
+    /// Time from the fleet's start to the end of the attempt.
     at: Micros,
     succeeded: bool,
 }
 
-/// A node before four endpoints that end each attempt at once.
+/// A node with four endpoints that end each attempt at once.
 struct Fleet {
     node: NodeUnderTest,
     started_at: Micros,
-    ended: Vec<Ended>,
-    /// Requests that failed, by class.
+    ended: Vec<AttemptResult>,
+    /// The number of requests that failed, by class.
     failed: BTreeMap<usize, u32>,
 }
 
@@ -45,7 +46,8 @@
         self.node.now - self.started_at
     }
 
-    /// Sends requests of these classes in turn for `span`; the endpoints that `is_faulty` reset every one.
+    /// Sends requests of these classes in turn for `span` microseconds. The endpoints for which `is_faulty`
+    /// returns true reset the connection of every attempt.
     fn run(&mut self, span: Micros, classes: &[usize], is_faulty: impl Fn(EndpointId) -> bool) {
         let until = self.node.now + span;
         for &class in classes.iter().cycle() {
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Ends these attempts and those that follow them.
+    /// Ends these attempts and the retries that follow them.
     fn end_attempts(
         &mut self,
         class: usize,
@@ -72,7 +74,12 @@
             while let Some(attempt) = next {
                 let succeeded = !is_faulty(attempt.endpoint);
                 let outcome = if succeeded { Outcome::Ok } else { Outcome::Reset };
-                self.ended.push(Ended { class, endpoint: attempt.endpoint, at: self.elapsed(), succeeded });
+                self.ended.push(AttemptResult {
+                    class,
+                    endpoint: attempt.endpoint,
+                    at: self.elapsed(),
+                    succeeded,
+                });
                 let actions = self.node.end_attempt(&attempt, number, outcome);
                 *self.failed.entry(class).or_default() += u32::from(has_failure(&actions));
                 next = started_attempts(&actions).pop();
@@ -81,7 +88,7 @@
         }
     }
 
-    /// The endpoints that served an attempt from `since` on.
+    /// Returns the endpoints at which an attempt succeeded from `since` on.
     fn serving(&self, since: Micros) -> BTreeSet<EndpointId> {
         let served = self.ended.iter().filter(|ended| ended.succeeded && ended.at >= since);
         served.map(|ended| ended.endpoint).collect()
@@ -101,11 +108,23 @@
     for classes in [&[SAFE][..], &[KEYED], &[NON_IDEMPOTENT], &[SAFE, KEYED, NON_IDEMPOTENT]] {
         let mut fleet = Fleet::start();
         fleet.run(3 * SECOND, classes, |_| true);
-        let healed_at = fleet.elapsed();
+        let fault_ended_at = fleet.elapsed();
         fleet.run(2 * LONGEST_EJECTION, classes, |_| false);
-        let first_served = fleet.ended.iter().find(|ended| ended.succeeded).expect("service comes back");
-        assert!(first_served.at <= healed_at + SECOND, "classes {classes:?}: after {}", first_served.at);
-        assert_eq!(fleet.serving(healed_at + LONGEST_EJECTION).len(), 4, "classes {classes:?}");
+        let first_served = fleet
+            .ended
+            .iter()
+            .find(|ended| ended.succeeded)
+            .expect("an attempt that succeeded after the fault");
+        assert!(
+            first_served.at <= fault_ended_at + SECOND,
+            "classes {classes:?}: first success {} us after the start; expected within 1 s after the fault",
+            first_served.at
+        );
+        assert_eq!(
+            fleet.serving(fault_ended_at + LONGEST_EJECTION).len(),
+            4,
+            "endpoints that serve again, classes {classes:?}"
+        );
     }
 }
 
@@ -114,10 +133,14 @@
     for classes in [&[SAFE][..], &[KEYED], &[NON_IDEMPOTENT], &[SAFE, KEYED, NON_IDEMPOTENT]] {
         let mut fleet = Fleet::start();
         fleet.run(3 * SECOND, classes, is_first_half);
-        let healed_at = fleet.elapsed();
+        let fault_ended_at = fleet.elapsed();
         let longest = LONGEST_EJECTION + LONGEST_WAIT_FOR_SAFER_REQUESTS;
         fleet.run(2 * longest, classes, |_| false);
-        assert_eq!(fleet.serving(healed_at + longest).len(), 4, "classes {classes:?}");
+        assert_eq!(
+            fleet.serving(fault_ended_at + longest).len(),
+            4,
+            "endpoints that serve again, classes {classes:?}"
+        );
     }
 }
 
@@ -127,12 +150,15 @@
         let mut fleet = Fleet::start();
         fleet.run(3 * SECOND, &[class], |endpoint| endpoint.0 == 0);
         let mut restarted = endpoint_entry(0, EndpointState::Active, fleet.node.now - 20 * SECOND);
-        // It has been warm for long when the list says so.
+        // The endpoint restarted 20 s ago, so it has long been warm when the list reports the restart.
         restarted.weight = 1.0;
         fleet.node.update_endpoint(restarted);
         let restarted_at = fleet.elapsed();
         fleet.run(SECOND, &[class], |_| false);
-        assert!(fleet.serving(restarted_at).contains(&EndpointId(0)), "class {class}");
+        assert!(
+            fleet.serving(restarted_at).contains(&EndpointId(0)),
+            "class {class}: the restarted endpoint served no request within 1 s"
+        );
     }
 }
 
@@ -141,33 +167,45 @@
     let mut fleet = Fleet::start();
     fleet.run(10 * SECOND, &[NON_IDEMPOTENT], is_first_half);
     let failed_at_first = fleet.failed[&NON_IDEMPOTENT];
-    // By now the ejections of both are the longest ones; each test follows one and a wait as long.
+    // By now both faulty endpoints are ejected for the longest time. Each test follows such an ejection and a
+    // wait of the same length.
     let minutes = 2;
     fleet.run(minutes * 60 * SECOND, &[NON_IDEMPOTENT], is_first_half);
     let failed = u64::from(fleet.failed[&NON_IDEMPOTENT] - failed_at_first);
     let tests_of_each = minutes * 60 * SECOND / (LONGEST_EJECTION + LONGEST_WAIT_FOR_SAFER_REQUESTS) + 1;
-    assert!((1..=2 * tests_of_each).contains(&failed), "{failed} of {} failed", minutes * 60 * 50);
+    assert!(
+        (1..=2 * tests_of_each).contains(&failed),
+        "{failed} of {} requests failed; expected at least 1 and at most the tests of two endpoints",
+        minutes * 60 * 50
+    );
     let attempts = fleet.ended.len();
     let requests = fleet.elapsed() / REQUEST_INTERVAL;
-    assert_eq!(attempts as u64, requests, "one attempt a request: none was repeated");
+    assert_eq!(attempts as u64, requests, "attempts and requests: no request may be sent again");
 }
 
 #[test]
-fn tests_are_left_to_safe_requests_where_they_come_along() {
+fn safe_requests_test_recovering_endpoints_before_others() {
     let mut fleet = Fleet::start();
-    // A healthy node first, so that one reset ejects.
+    // The node first sends to healthy endpoints, so that resets are rare and one reset ejects an endpoint.
     let classes = [NON_IDEMPOTENT, NON_IDEMPOTENT, KEYED, SAFE];
     fleet.run(SECOND, &classes, |_| false);
     fleet.run(SECOND, &[SAFE], is_first_half);
     fleet.run(60 * SECOND, &classes, is_first_half);
-    assert_eq!(fleet.failed.get(&NON_IDEMPOTENT), Some(&0), "a non-idempotent request paid for a test");
-    assert_eq!(fleet.failed_tests(KEYED), 0, "a keyed request paid for a test");
-    assert!(fleet.failed_tests(SAFE) >= 8, "the faulty endpoints were tested");
+    assert_eq!(
+        fleet.failed.get(&NON_IDEMPOTENT),
+        Some(&0),
+        "non-idempotent requests that failed in a recovery test"
+    );
+    assert_eq!(fleet.failed_tests(KEYED), 0, "recovery tests by keyed requests that failed");
+    assert!(
+        fleet.failed_tests(SAFE) >= 8,
+        "fewer than 8 recovery tests of the faulty endpoints by safe requests"
+    );
 }
 
 #[test]
 fn tests_by_requests_that_are_not_safe_stay_a_small_share_of_them() {
-    // Requests so rare that most could test an endpoint.
+    // The requests are so rare that most of them could test an endpoint.
     let mut fleet = Fleet::start();
     fleet.run(SECOND, &[NON_IDEMPOTENT], |endpoint| endpoint.0 < 3);
     let failed_at_first = fleet.failed[&NON_IDEMPOTENT];
@@ -177,7 +215,10 @@
         fleet.run(REQUEST_INTERVAL, &[NON_IDEMPOTENT], |endpoint| endpoint.0 < 3);
     }
     let failed = fleet.failed[&NON_IDEMPOTENT] - failed_at_first;
-    assert!((1..=requests / 10 + 2).contains(&failed), "{failed} of {requests} requests failed in tests");
+    assert!(
+        (1..=requests / 10 + 2).contains(&failed),
+        "{failed} of {requests} requests failed in recovery tests; expected 1 to a tenth of them plus 2"
+    );
 }
 
 #[test]
@@ -189,7 +230,11 @@
     node.tick();
     let test = node.request_started(NON_IDEMPOTENT);
     let waiting = started_attempts(&node.request(NON_IDEMPOTENT, 1.0).actions);
-    assert!(waiting.is_empty(), "a second attempt at a recovering endpoint");
+    assert!(waiting.is_empty(), "a second attempt was sent to a recovering endpoint");
     node.complete(&test);
-    assert_eq!(started_attempts(&node.tick()).len(), 1, "the one that waited goes once the test succeeded");
+    assert_eq!(
+        started_attempts(&node.tick()).len(),
+        1,
+        "attempts that start once the test has succeeded: that of the waiting request"
+    );
 }
--- a/tests/endpoint_selection.rs
+++ b/tests/endpoint_selection.rs
@@ -1,5 +1,5 @@
-//! The selection of endpoints at any size of fleet: the same as a plain scan of the whole list, with work
-//! that does not grow with the fleet.
+//! The selection of endpoints in fleets of any size: it gives the same result as a plain scan of the whole
+//! list, and its work does not grow with the fleet.
 
 mod common;
 mod oracle;
@@ -13,7 +13,7 @@
 use oracle::checked_node::{active_entry, delta, entry, settings_of_node, snapshot, CheckedNode};
 use oracle::CheckedAttempts;
 
-/// The fleet of a check, and how many events it takes.
+/// The seed and the size of the fleet of a check, and its number of events.
 struct Check {
     seed: u64,
     endpoint_count: u64,
@@ -21,7 +21,8 @@
     event_count: u32,
 }
 
-/// Checks seeded events at a fleet of this size. Returns how many attempts were checked.
+/// Checks where a node sends its attempts, over events drawn from the seed. Returns how many attempts were
+/// checked.
 fn run_check(check: &Check) -> CheckedAttempts {
     let settings = settings_of_node(check.node_count / 2, check.node_count);
     let mut checked = CheckedNode::new(check.seed, check.endpoint_count, settings);
@@ -87,19 +88,19 @@
     }
 }
 
-/// How much work a node does.
+/// The work that a node does.
 struct Work {
-    /// Most endpoints examined for a request.
+    /// The most endpoints that were examined for a request.
     examined_per_request: u64,
-    /// Most endpoints examined for a tick.
+    /// The most endpoints that were examined for a tick.
     examined_per_tick: u64,
-    /// Entries changed by a delta of two entries, of which one differs.
+    /// Number of entries changed by a delta of two entries, one of which differs.
     changed_by_delta: u64,
-    /// Entries changed by a snapshot that differs in three endpoints.
+    /// Number of entries changed by a snapshot that differs in three endpoints.
     changed_by_snapshot: u64,
 }
 
-/// Measures one of so many nodes before so many endpoints in steady traffic.
+/// Measures the work of one of `node_count` nodes that know `endpoint_count` endpoints, under steady traffic.
 fn measure_work(endpoint_count: u64, node_count: u32) -> Work {
     let mut node = NodeUnderTest::new(settings_of_node(node_count / 2, node_count), 0);
     node.event(snapshot(0..endpoint_count));
@@ -113,7 +114,7 @@
         examined_per_request =
             examined_per_request.max(node.node.work_counters().endpoints_examined - before);
         if in_flight.len() > 6 {
-            let oldest = in_flight.pop_front().expect("one is in flight");
+            let oldest = in_flight.pop_front().expect("an attempt in flight");
             node.complete(&oldest);
         }
         if number % 3 == 0 {
@@ -131,7 +132,8 @@
     Work { examined_per_request, examined_per_tick, changed_by_delta, changed_by_snapshot }
 }
 
-/// A snapshot after endpoint 5 restarted now, which is known: one drains, one was removed, and one is new.
+/// Returns a snapshot with three changes: an endpoint drains, one is removed and one is new. It also has the
+/// restart of endpoint 5 at `now`, which the node knows already.
 fn snapshot_with_three_changes(endpoint_count: u64, now: Micros) -> Event {
     let mut entries: Vec<EndpointEntry> = (0..endpoint_count).map(active_entry).collect();
     entries[5].started_at = now;
@@ -145,22 +147,25 @@
     for (endpoint_count, node_count) in [(200_u64, 300), (4_600, 570), (46_000, 5_700)] {
         let subset_size = (endpoint_count * 24).div_ceil(u64::from(node_count)).max(12);
         let work = measure_work(endpoint_count, node_count);
-        // A decision sums up the warm fractions of the subset, examines it or a list of up to 256, and asks
-        // at most twice how fast the endpoints with traffic respond.
+        // A decision sums the warm fractions of the subset, examines the subset or a list of up to 256
+        // endpoints, and reads the completion rates of the endpoints with traffic at most twice.
         let with_traffic = subset_size.max(16);
         let for_request = work.examined_per_request;
         assert!(
             for_request <= subset_size + subset_size.max(256) + 2 * with_traffic,
-            "{for_request} endpoints of {endpoint_count} examined for a request"
+            "{for_request} endpoints of {endpoint_count} were examined for a request, beyond the bound"
         );
         let for_tick = work.examined_per_tick;
-        assert!(for_tick <= 2 * with_traffic, "{for_tick} endpoints of {endpoint_count} examined for a tick");
+        assert!(
+            for_tick <= 2 * with_traffic,
+            "{for_tick} endpoints of {endpoint_count} were examined for a tick, beyond the bound"
+        );
         assert_eq!(work.changed_by_delta, 1, "entries changed by a delta, {endpoint_count} endpoints");
         assert_eq!(work.changed_by_snapshot, 3, "entries changed by a snapshot, {endpoint_count} endpoints");
     }
 }
 
-/// The endpoints that a node sends 60 requests to.
+/// Returns the endpoints to which a node sends 60 requests.
 fn endpoints_in_use(node: &mut NodeUnderTest) -> BTreeSet<EndpointId> {
     let mut in_use = BTreeSet::new();
     for _ in 0..60 {
@@ -180,7 +185,7 @@
     node.event(snapshot(1_000..2_000));
     let new: BTreeSet<EndpointId> = (1_000..2_000).map(|number| active_entry(number).id).collect();
     assert!(endpoints_in_use(&mut node).is_subset(&new));
-    // The endpoint where an attempt is still in flight is kept until that ends.
+    // The endpoint with an attempt in flight is kept until the attempt ends.
     assert_eq!(node.node.retained_entries().endpoints, 1_001);
     node.complete(&old_attempt);
     node.advance(SECOND);
@@ -189,7 +194,7 @@
 }
 
 #[test]
-fn of_two_entries_for_an_endpoint_in_one_update_the_later_counts() {
+fn later_of_two_entries_for_an_endpoint_in_one_update_applies() {
     let orders =
         [(EndpointState::Draining, EndpointState::Active), (EndpointState::Active, EndpointState::Draining)];
     for kind in [EndpointUpdateKind::Snapshot, EndpointUpdateKind::Delta] {
@@ -211,16 +216,17 @@
     let mut node = NodeUnderTest::new(settings_of_node(0, 1), 0);
     node.event(snapshot(0..2));
     node.event(delta(vec![entry(8, EndpointState::Removed, 0), entry(9, EndpointState::Draining, 0)]));
-    assert_eq!(node.node.retained_entries().endpoints, 3, "the one that was removed is not kept");
+    assert_eq!(node.node.retained_entries().endpoints, 3, "endpoints kept, without the removed one");
     assert_eq!(endpoints_in_use(&mut node).len(), 2);
     node.event(delta(vec![active_entry(7)]));
     assert_eq!(node.node.retained_entries().endpoints, 4);
     assert_eq!(endpoints_in_use(&mut node).len(), 3);
 }
 
-/// By endpoint, how many of the nodes that are up send to it.
+/// Returns, for each endpoint in the order of the ids, how many of the nodes that are up send to it.
 fn nodes_by_endpoint(node_count: u32, endpoint_count: u64, is_up: impl Fn(u32) -> bool) -> Vec<u32> {
-    // One weight for all: each endpoint is drawn alike, and none of a subset is left out in so many requests.
+    // With the same weight, all endpoints are selected equally often, so in so many requests a node uses
+    // every endpoint of its subset.
     let entries: Vec<EndpointEntry> =
         (0..endpoint_count).map(|number| EndpointEntry { weight: 1.0, ..active_entry(number) }).collect();
     let mut node_counts: BTreeMap<EndpointId, u32> = entries.iter().map(|entry| (entry.id, 0)).collect();
@@ -245,11 +251,16 @@
     let node_count = 60;
     let endpoint_count = 90;
     let all_up = nodes_by_endpoint(node_count, endpoint_count, |_| true);
-    assert_eq!(all_up, vec![24; endpoint_count as usize], "90 endpoints, 36 in each of 60 subsets");
-    // A tenth of the nodes down here and there takes from an endpoint two or three of its 24 nodes.
+    assert_eq!(
+        all_up,
+        vec![24; endpoint_count as usize],
+        "nodes of each of 90 endpoints, 36 in each of 60 subsets"
+    );
+    // If a tenth of the nodes, spread evenly, is down, an endpoint loses two or three of its 24 nodes.
     let scattered = nodes_by_endpoint(node_count, endpoint_count, |index| index % 10 != 3);
     assert!(scattered.iter().all(|count| (21..=22).contains(count)), "{scattered:?}");
-    // It does not hold for a tenth next to each other: six of 24. No node moves up for one that is down.
+    // If a tenth of the nodes, adjacent to each other, is down, an endpoint loses up to six of its 24 nodes,
+    // since no node takes the place of one that is down.
     let adjacent = nodes_by_endpoint(node_count, endpoint_count, |index| !(20..26).contains(&index));
     assert_eq!(adjacent.iter().min(), Some(&18), "{adjacent:?}");
     assert_eq!(adjacent.iter().max(), Some(&24), "{adjacent:?}");
--- a/tests/oracle/checked_node.rs
+++ b/tests/oracle/checked_node.rs
@@ -1,4 +1,4 @@
-//! A node and the oracle that follows it, with the events that the tests of endpoint selection draw.
+//! A node, the oracle that checks it, and the random events of the tests of endpoint selection.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,8 @@
 use super::Oracle;
 use crate::common::{request_class, settings_without_quota, started_attempts, NodeUnderTest, SECOND};
 
-/// Settings of one of so many nodes, with a class whose repeats are bound to a zone besides the usual three.
+/// Returns the settings of one of `node_count` nodes. A class whose repeats are bound to a zone is added to
+/// the usual three.
 pub fn settings_of_node(node_index: u32, node_count: u32) -> Settings {
     let mut settings =
         Settings { node_index, node_count, zone: 1, cross_zone_cost: 0.2, ..settings_without_quota() };
@@ -20,8 +21,8 @@
     settings
 }
 
-/// The entry of the endpoint of this number. The ids are spread over their range, and neighbours on the ring
-/// are in different zones and cells.
+/// Returns the list entry of the endpoint with this number. The ids are spread over their range, and
+/// neighbours on the ring are in different zones and cells.
 pub fn entry(number: u64, state: EndpointState, started_at: Micros) -> EndpointEntry {
     EndpointEntry {
         id: EndpointId(number.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 1),
@@ -56,13 +57,13 @@
     sent_at: Micros,
 }
 
-/// A node and the oracle that follows it through seeded events.
+/// A node and the oracle that follows it through events drawn from a seed.
 pub struct CheckedNode {
     pub node: NodeUnderTest,
     pub oracle: Oracle,
     pub random: fastrand::Rng,
     settings: Settings,
-    /// The numbers of the endpoints on the list.
+    /// The numbers of the endpoints on the endpoint list.
     listed: Vec<u64>,
     pub in_flight: Vec<AttemptInFlight>,
     attempt_counts: BTreeMap<RequestId, u32>,
@@ -116,8 +117,8 @@
         }));
     }
 
-    /// One of the attempts in flight ends. During an outage a third of the endpoints fail half of what they
-    /// get.
+    /// Ends one of the attempts in flight. During an outage, a third of the endpoints fail half of their
+    /// attempts. In addition, one attempt in twenty fails at any time.
     pub fn end_attempt(&mut self, is_outage: bool) {
         let attempt = self.in_flight.swap_remove(self.random.usize(..self.in_flight.len()));
         let failures =
@@ -136,7 +137,8 @@
         }));
     }
 
-    /// A restart, a drain, a return, a removal, a new endpoint or the removal of one that nobody knows.
+    /// Sends a delta with one change: a restart, a drain, a return to service, a removal, a new endpoint or
+    /// the removal of an endpoint that the node does not know.
     pub fn change_an_endpoint(&mut self) {
         let now = self.node.now;
         let number = self.listed[self.random.usize(..self.listed.len())];
@@ -158,7 +160,7 @@
         self.event(delta(vec![changed]));
     }
 
-    /// So many endpoints next to each other, from this node's first position on, restart at once.
+    /// Restarts `count` adjacent endpoints at the same time, from this node's first position on the ring on.
     pub fn restart_neighbours(&mut self, count: usize) {
         let now = self.node.now;
         let mut ring: Vec<EndpointEntry> =
@@ -170,7 +172,7 @@
         self.event(delta(ring));
     }
 
-    /// A snapshot that lacks one in fifty, in another order.
+    /// Sends a snapshot that lacks one endpoint in fifty and has the others in a random order.
     pub fn shrink_by_snapshot(&mut self) {
         let mut numbers = self.listed.clone();
         self.random.shuffle(&mut numbers);
--- a/tests/oracle/failure_share.rs
+++ b/tests/oracle/failure_share.rs
@@ -1,11 +1,11 @@
-//! Shares of failures that forget the past.
+//! Shares of failures in which earlier samples decay exponentially.
 
 use edge_node::decision::Micros;
 
-/// Time constant of the shares, in microseconds.
+/// Time constant of the decay, in microseconds.
 const TIME_CONSTANT: f64 = 15e6;
 
-/// A sum that fades by a factor of e for each time constant.
+/// A sum that decays by a factor of e in each time constant.
 #[derive(Clone, Copy, Default)]
 struct DecayingSum {
     sum: f64,
@@ -23,7 +23,7 @@
     }
 }
 
-/// A share of failures, with a prior that weighs as much as one sample.
+/// A share of failures, in which the prior weighs as much as one sample.
 #[derive(Clone, Copy, Default)]
 pub struct FailureShare {
     samples: DecayingSum,
--- a/tests/oracle/mod.rs
+++ b/tests/oracle/mod.rs
@@ -1,6 +1,7 @@
-//! The selection of an endpoint as a plain scan of the whole list, written independently of the node's code
-//! from docs/design.md. The oracle follows a node event by event and checks where each attempt is sent.
-//! Quotas and overload are not in it: whether a request is passed on at all is taken from the node's actions.
+//! An oracle for the selection of endpoints: a plain scan of the whole list, written from docs/design.md and
+//! independently of the node's code. The oracle follows a node event by event and checks where each attempt
+//! is sent. It does not model quotas and overload: whether a request is passed on at all is taken from the
+//! node's actions.
 
 pub mod checked_node;
 mod failure_share;
@@ -16,10 +17,10 @@
 use failure_share::FailureShare;
 use selection::random_number;
 
-/// Gain of the mean response time of an endpoint; half of it over the fleet.
+/// Weight of a new response time in the mean of its endpoint; in the estimates over the fleet it is half.
 const LATENCY_GAIN: f64 = 0.1;
 
-/// A kind of failure that is tracked on its own.
+/// A kind of failure that is tracked separately.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum FailureKind {
     Class(usize),
@@ -34,22 +35,24 @@
     cell: u32,
 }
 
-/// An endpoint as the node should see it.
+/// The state of an endpoint that the node is expected to keep.
 #[derive(Clone, Default)]
-struct Endpoint {
+struct ExpectedEndpoint {
     entry: EndpointEntry,
     started_at: Micros,
-    /// When the attempts in flight were sent.
+    /// When the attempts in flight were sent, the earliest first.
     in_flight: Vec<Micros>,
+    /// Mean response time in microseconds.
     latency: f64,
     failures: BTreeMap<FailureKind, FailureShare>,
     last_response_at: Micros,
-    consecutive_failures: u32,
+    consecutive_ejections: u32,
     connection_resets: u32,
     ejected_until: Micros,
     /// When an attempt was last sent to it while it was recovering.
     recovery_tested_at: Micros,
-    /// Requests it may be sent while it warms up, as of `slow_start_at` on the slow-start clock.
+    /// Number of requests that it may be sent while it warms up, as of `slow_start_at` on the slow-start
+    /// clock.
     slow_start_tokens: f64,
     slow_start_at: u64,
 }
@@ -77,33 +80,35 @@
     first_possible_run: Option<PossibleRun>,
 }
 
-/// How many attempts were sent to the right endpoint.
+/// How many attempts were checked and found to be sent to the expected endpoint.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct CheckedAttempts {
     pub all: u32,
-    /// Those sent beyond the subset.
+    /// Attempts that were sent beyond the subset.
     pub beyond_subset: u32,
     /// Repeats of keyed requests, which are bound to a deduplication group.
     pub bound_repeats: u32,
 }
 
-/// Follows a node and checks its attempts.
+/// Follows a node and checks to which endpoints it sends attempts.
 pub struct Oracle {
     settings: Settings,
     random_state: u64,
     now: Micros,
-    endpoints: BTreeMap<EndpointId, Endpoint>,
+    endpoints: BTreeMap<EndpointId, ExpectedEndpoint>,
     requests: BTreeMap<RequestId, PendingRequest>,
-    /// Requests that no endpoint may be sent for now.
+    /// Requests that wait, since no endpoint may be sent them for now.
     queued: VecDeque<RequestId>,
+    /// Mean response time of the fleet in microseconds, and its mean deviation.
     latency: f64,
     latency_deviation: f64,
     failures: BTreeMap<FailureKind, FailureShare>,
     connection_resets: FailureShare,
-    /// The slow-start clock: what a warm endpoint of the subset was due, in millionths of a request.
+    /// The slow-start clock: the requests that a warm endpoint of the subset was due, in millionths of a
+    /// request.
     slow_start_clock: u64,
     retry_budget: f64,
-    /// Tests of recovering endpoints that requests which are not safe have left.
+    /// The budget of recovery tests by requests that are not safe.
     recovery_tests: f64,
     pub checked: CheckedAttempts,
 }
@@ -128,7 +133,7 @@
         }
     }
 
-    /// Follows an event that the node has answered by these actions, and checks the actions.
+    /// Follows an event that the node has handled with these actions, and checks the actions.
     pub fn follow(&mut self, now: Micros, event: &Event, actions: &[Action]) {
         self.now = now;
         match event {
@@ -158,19 +163,20 @@
     }
 
     fn update_endpoint(&mut self, entry: &EndpointEntry) {
-        let fresh = Endpoint {
+        let fresh = ExpectedEndpoint {
             started_at: entry.started_at,
             last_response_at: self.now,
             latency: self.latency,
             slow_start_tokens: random_number(&mut self.random_state),
             slow_start_at: self.slow_start_clock,
-            ..Endpoint::default()
+            ..ExpectedEndpoint::default()
         };
         let endpoint = self.endpoints.entry(entry.id).or_insert_with(|| fresh.clone());
         endpoint.entry = entry.clone();
         if entry.started_at > endpoint.started_at {
-            // It has restarted: what is in flight, its failure shares and its last response are kept.
-            *endpoint = Endpoint {
+            // A restart keeps the attempts in flight, the shares of failures and the time of the last
+            // response.
+            *endpoint = ExpectedEndpoint {
                 entry: entry.clone(),
                 in_flight: std::mem::take(&mut endpoint.in_flight),
                 failures: std::mem::take(&mut endpoint.failures),
@@ -191,7 +197,7 @@
         self.requests.insert(request.id.clone(), pending);
         let subset_capacity: f64 =
             self.subset().iter().fold(0.0, |capacity, id| capacity + self.warm_fraction(&self.endpoints[id]));
-        if self.place(&request.id, actions) {
+        if self.check_dispatch(&request.id, actions) {
             self.slow_start_clock += (1e6 / subset_capacity.max(1.0)) as u64;
             self.recovery_tests = (self.recovery_tests + 0.1).min(2.0);
         }
@@ -199,7 +205,7 @@
 
     fn tick(&mut self, actions: &[Action]) {
         for id in std::mem::take(&mut self.queued) {
-            self.place(&id, actions);
+            self.check_dispatch(&id, actions);
         }
         for action in actions {
             if let Action::CancelAttempt { request, attempt_number } = action {
@@ -214,8 +220,9 @@
         }
     }
 
-    /// Checks where a request is sent. Returns whether it was passed on: the node may have rejected it.
-    fn place(&mut self, id: &RequestId, actions: &[Action]) -> bool {
+    /// Checks where a request is sent. Returns whether the request was passed on or waits for an endpoint;
+    /// false if the node has rejected or failed it.
+    fn check_dispatch(&mut self, id: &RequestId, actions: &[Action]) -> bool {
         let has_final_response = actions.iter().any(|action| {
             matches!(action, Action::Reject { request, .. } | Action::Fail { request } if request == id)
         });
@@ -230,17 +237,17 @@
         true
     }
 
-    /// Checks that the node has sent a request to this endpoint, and counts the attempt.
+    /// Checks that the node has sent a request to this endpoint, and records the attempt.
     fn check_attempt(&mut self, id: &RequestId, endpoint: EndpointId, actions: &[Action]) {
         let sent_to = actions.iter().find_map(|action| match action {
             Action::StartAttempt { request, endpoint, .. } if request == id => Some(*endpoint),
             _ => None,
         });
-        assert_eq!(sent_to, Some(endpoint), "where {id:?} goes, at {}", self.now);
+        assert_eq!(sent_to, Some(endpoint), "endpoint to which the node sends {id:?} at {}", self.now);
         let is_in_subset = self.subset().contains(&endpoint);
         let is_recovery_test = self.is_recovering(&self.endpoints[&endpoint]);
         let warm_fraction = self.warm_fraction(&self.endpoints[&endpoint]);
-        let request = self.requests.get_mut(id).expect("a request");
+        let request = self.requests.get_mut(id).expect("a pending request");
         let idempotency = self.settings.classes[request.class].idempotency;
         let is_keyed = idempotency == Idempotency::Keyed;
         self.checked.all += 1;
@@ -248,17 +255,17 @@
         self.checked.bound_repeats += u32::from(is_keyed && request.first_possible_run.is_some());
         let budget_change = if request.attempts.is_empty() { 0.2 } else { -1.0 };
         self.retry_budget = (self.retry_budget + budget_change).min(20.0);
-        let state = self.endpoints.get_mut(&endpoint).expect("an endpoint");
+        let state = self.endpoints.get_mut(&endpoint).expect("a known endpoint");
         let placement = Placement { zone: state.entry.zone, cell: state.entry.cell };
         request.attempts.push(Attempt { endpoint, placement, sent_at: self.now });
         state.in_flight.push(self.now);
         if is_recovery_test {
             state.recovery_tested_at = self.now;
-            let price = if idempotency == Idempotency::Safe { 0.0 } else { 1.0 };
-            self.recovery_tests = (self.recovery_tests - price).max(0.0);
+            let withdrawn = if idempotency == Idempotency::Safe { 0.0 } else { 1.0 };
+            self.recovery_tests = (self.recovery_tests - withdrawn).max(0.0);
         }
-        let turns = (self.slow_start_clock - state.slow_start_at) as f64 / 1e6;
-        state.slow_start_tokens = (state.slow_start_tokens + warm_fraction * turns).min(1.5) - 1.0;
+        let due_requests = (self.slow_start_clock - state.slow_start_at) as f64 / 1e6;
+        state.slow_start_tokens = (state.slow_start_tokens + warm_fraction * due_requests).min(1.5) - 1.0;
         state.slow_start_at = self.slow_start_clock;
     }
 
@@ -282,19 +289,22 @@
                 Some(next) => return self.check_attempt(&end.request, next, actions),
                 None => {
                     let is_sent = actions.iter().any(|action| matches!(action, Action::StartAttempt { .. }));
-                    assert!(!is_sent, "no endpoint may be sent it");
+                    assert!(!is_sent, "a request was sent again though no endpoint may be sent it");
                 }
             }
         }
         self.requests.remove(&end.request);
     }
 
-    /// Takes the attempt out of those in flight and counts its failures by kind.
+    /// Removes the attempt from those in flight and records its failures by kind.
     fn record_failures(&mut self, end: &EndedAttempt, attempt: &Attempt, class: usize, plan: usize) {
         let latency_bound = self.latency_bound();
-        let endpoint = self.endpoints.get_mut(&attempt.endpoint).expect("kept while attempts are in flight");
+        let endpoint = self
+            .endpoints
+            .get_mut(&attempt.endpoint)
+            .expect("an endpoint is kept while attempts are in flight");
         let index = endpoint.in_flight.iter().position(|&sent_at| sent_at == attempt.sent_at);
-        endpoint.in_flight.remove(index.expect("it was in flight"));
+        endpoint.in_flight.remove(index.expect("an attempt in flight"));
         let succeeded = end.outcome == Outcome::Ok;
         let refused = matches!(end.outcome, Outcome::Error | Outcome::Rejected);
         let unanswered = matches!(end.outcome, Outcome::TimedOut | Outcome::Cancelled)
@@ -313,9 +323,9 @@
         }
     }
 
-    /// Takes the outcome into response times and health.
+    /// Records the outcome in the response times and the health of the endpoint and the fleet.
     fn record_health(&mut self, end: &EndedAttempt, attempt: &Attempt) {
-        let endpoint = self.endpoints.get_mut(&attempt.endpoint).expect("an endpoint");
+        let endpoint = self.endpoints.get_mut(&attempt.endpoint).expect("a known endpoint");
         let unanswered_since_ejection =
             endpoint.last_response_at < attempt.sent_at && attempt.sent_at >= endpoint.ejected_until;
         let fleet_resets = self.connection_resets.value(self.now, 0.0);
@@ -340,7 +350,7 @@
                 self.latency += (sample - self.latency) * LATENCY_GAIN / 2.0;
                 endpoint.latency += (sample - endpoint.latency) * LATENCY_GAIN;
                 endpoint.last_response_at = self.now;
-                endpoint.consecutive_failures = 0;
+                endpoint.consecutive_ejections = 0;
                 endpoint.ejected_until = endpoint.ejected_until.min(self.now);
             }
             Outcome::Error => endpoint.last_response_at = self.now,
@@ -356,34 +366,35 @@
     fn may_retry(&self, id: &RequestId) -> bool {
         let request = &self.requests[id];
         let class = &self.settings.classes[request.class];
-        let is_harmless = match (class.idempotency, request.first_possible_run) {
+        let may_repeat = match (class.idempotency, request.first_possible_run) {
             (Idempotency::Safe, _) | (_, None) => true,
             (Idempotency::Keyed, Some(run)) => {
                 self.now + self.settings.limits.connect_timeout < run.sent_at + class.deduplication_window
             }
             (Idempotency::NonIdempotent, Some(_)) => false,
         };
-        is_harmless
+        may_repeat
             && request.attempts.len() < self.settings.limits.max_attempts as usize
             && self.retry_budget >= 1.0
             && self.now + self.latency as Micros / 2 < request.deadline
     }
 
     fn eject(&mut self, id: EndpointId) {
-        let endpoint = self.endpoints.get_mut(&id).expect("an endpoint");
+        let endpoint = self.endpoints.get_mut(&id).expect("a known endpoint");
         if endpoint.ejected_until <= self.now {
-            endpoint.ejected_until = self.now + ejection_time(endpoint.consecutive_failures);
-            endpoint.consecutive_failures += 1;
+            endpoint.ejected_until = self.now + ejection_time(endpoint.consecutive_ejections);
+            endpoint.consecutive_ejections += 1;
         }
     }
 
-    /// An attempt in flight for longer than this is past what the fleet usually needs.
+    /// Returns the latency bound in microseconds: an attempt that is in flight for longer takes more time
+    /// than the fleet usually needs.
     fn latency_bound(&self) -> f64 {
         self.latency + 4.0 * self.latency_deviation
     }
 }
 
-/// How long an endpoint is ejected after so many ejections since its last success.
+/// Returns for how long an endpoint is ejected after this many ejections since its last success.
 fn ejection_time(earlier_ejections: u32) -> Micros {
     (400_000 << earlier_ejections.min(8)).min(6_400_000)
 }
--- a/tests/oracle/selection.rs
+++ b/tests/oracle/selection.rs
@@ -1,24 +1,25 @@
-//! Which endpoint an attempt should be sent to, found by a scan of the whole list.
+//! The endpoint to which an attempt should be sent, found by a scan of the whole list.
 
 use std::collections::BTreeSet;
 
 use edge_node::decision::{DeduplicationScope, EndpointId, EndpointState, Idempotency, RequestId};
 
-use super::{Endpoint, FailureKind, Oracle};
+use super::{ExpectedEndpoint, FailureKind, Oracle};
 
-/// Of a list longer than this only the subset is examined and, if nobody there is available, so many others.
+/// Of a list longer than this only the subset is examined and, if no endpoint of it is available, up to this
+/// many others.
 const MAX_EXAMINED: usize = 256;
 
-/// Whether an endpoint is expected to respond; the earlier is preferred.
+/// Whether an endpoint is expected to respond. The earlier variant is preferred.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 enum Availability {
     Available,
-    /// Recovering, and the request may not test it.
+    /// It is recovering, and the request may not test it.
     Untested,
     Unavailable,
 }
 
-/// How an endpoint ranks: the least is preferred, the fields count in this order.
+/// How an endpoint ranks. The least rank is preferred; the fields are compared in this order.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 struct Rank {
     availability: Availability,
@@ -33,18 +34,18 @@
     endpoint: EndpointId,
 }
 
-/// The share of failures of one kind over the fleet.
+/// A kind of failure and its share over the fleet, 0 to 1.
 #[derive(Clone, Copy)]
 struct FleetFailures {
     kind: FailureKind,
     share: f64,
 }
 
-/// What is the same for all endpoints that are compared for one attempt.
+/// The values that are the same for all endpoints that are compared for one attempt.
 struct Comparison {
     exclude: Option<EndpointId>,
     subset: BTreeSet<EndpointId>,
-    /// Weight of chance beside the node's own load counts.
+    /// Weight of a random number relative to the node's own load counts, 0 to 1.
     exploration: f64,
     class: FleetFailures,
     plan: FleetFailures,
@@ -52,7 +53,7 @@
 }
 
 impl Oracle {
-    /// The endpoint that a request should be sent to, if any may be sent it.
+    /// Returns the endpoint to which a request should be sent, or `None` if no endpoint may be sent it.
     pub fn select(&mut self, id: &RequestId, exclude: Option<EndpointId>) -> Option<EndpointId> {
         let ring = self.ring();
         if ring.len() <= MAX_EXAMINED {
@@ -72,39 +73,42 @@
         exclude: Option<EndpointId>,
         ring: &[EndpointId],
     ) -> Option<EndpointId> {
-        // The whole list, with random numbers for all. Only so many are used up as the subset spans
-        // endpoints.
+        // The scan of the whole list takes its random numbers from a copy of the state. The node itself draws
+        // random numbers only for the endpoints that its subset spans.
         let best_of_all = self.best_of(id, exclude, ring, &mut self.random_state.clone());
         let position = |id| ring.iter().position(|&on_ring| on_ring == id).expect("on the ring");
         let span = self.subset().last().map_or(0, |&last| position(last) + 1);
         let mut random_state = self.random_state;
         let best_of_subset = self.best_of(id, exclude, &ring[..span], &mut random_state);
-        let nobody_is_available =
+        let none_is_available =
             best_of_subset.is_none_or(|best| best.rank.availability != Availability::Available);
-        if nobody_is_available && span < ring.len() {
-            let rest = &ring[span..];
-            let is_bound = rest.iter().any(|&endpoint| !self.is_in_deduplication_group(id, endpoint));
-            let sample = sample_of_rest(rest, is_bound, &mut random_state);
-            let best_of_rest = self.best_of(id, exclude, &sample, &mut random_state);
+        if none_is_available && span < ring.len() {
+            let beyond_subset = &ring[span..];
+            let is_bound =
+                beyond_subset.iter().any(|&endpoint| !self.is_in_deduplication_group(id, endpoint));
+            let sample = sample_beyond_subset(beyond_subset, is_bound, &mut random_state);
+            let best_beyond_subset = self.best_of(id, exclude, &sample, &mut random_state);
             self.random_state = random_state;
             let found = best_of_subset
                 .into_iter()
-                .chain(best_of_rest)
-                .min_by(|one, other| one.partial_cmp(other).expect("no NaN"));
-            // A bound repeat finds an endpoint of its group, an available one if possible, wherever it is.
+                .chain(best_beyond_subset)
+                .min_by(|one, other| one.partial_cmp(other).expect("a cost that is not NaN"));
+            // A bound repeat finds an endpoint of its group wherever on the ring it is, an available one if
+            // there is one.
             let availability = |best: Option<Ranked>| best.map(|best| best.rank.availability);
             assert!(
                 !is_bound || availability(found) == availability(best_of_all),
-                "{found:?} for {best_of_all:?}"
+                "found {found:?} for a bound repeat, the best of all is {best_of_all:?}"
             );
             return found.map(|found| found.endpoint);
         }
         self.random_state = random_state;
-        assert_eq!(best_of_subset, best_of_all, "the best of the subset is the best of all");
+        assert_eq!(best_of_subset, best_of_all, "best endpoint of the subset and of the whole list");
         best_of_all.map(|best| best.endpoint)
     }
 
-    /// The best of these endpoints. Each that may be sent the request draws a random number in turn.
+    /// Returns the best of these endpoints. Each endpoint that may be sent the request draws a random number,
+    /// in the given order.
     fn best_of(
         &self,
         id: &RequestId,
@@ -141,7 +145,7 @@
         }
     }
 
-    /// How an endpoint ranks. None if it may not be sent the request.
+    /// Returns how an endpoint ranks, or `None` if it may not be sent the request.
     fn rank(
         &self,
         id: &RequestId,
@@ -154,13 +158,13 @@
         }
         let endpoint = &self.endpoints[&endpoint_id];
         let warm_fraction = self.warm_fraction(endpoint);
-        let turns = (self.slow_start_clock - endpoint.slow_start_at) as f64 / 1e6;
-        if warm_fraction < 1.0 && endpoint.slow_start_tokens + warm_fraction * turns < 1.0 {
+        let due_requests = (self.slow_start_clock - endpoint.slow_start_at) as f64 / 1e6;
+        if warm_fraction < 1.0 && endpoint.slow_start_tokens + warm_fraction * due_requests < 1.0 {
             return None;
         }
         let availability = self.availability(id, endpoint)?;
         let is_in_subset = comparison.subset.contains(&endpoint_id);
-        let is_warming_and_due = is_in_subset && warm_fraction < 1.0 && endpoint.consecutive_failures == 0;
+        let is_warming_and_due = is_in_subset && warm_fraction < 1.0 && endpoint.consecutive_ejections == 0;
         Some(Rank {
             availability,
             is_beyond_subset: !is_in_subset,
@@ -169,8 +173,9 @@
         })
     }
 
-    /// Whether an endpoint is expected to respond; none while the one attempt that tests it is in flight.
-    fn availability(&self, id: &RequestId, endpoint: &Endpoint) -> Option<Availability> {
+    /// Returns whether an endpoint is expected to respond, or `None` if it is recovering and the one attempt
+    /// that tests it is in flight.
+    fn availability(&self, id: &RequestId, endpoint: &ExpectedEndpoint) -> Option<Availability> {
         if endpoint.ejected_until > self.now || self.is_unresponsive(endpoint) {
             return Some(Availability::Unavailable);
         }
@@ -182,18 +187,20 @@
         (!is_tested).then_some(if may_test { Availability::Available } else { Availability::Untested })
     }
 
-    /// Whether an endpoint's ejection is over, with no success since.
-    pub(super) fn is_recovering(&self, endpoint: &Endpoint) -> bool {
-        let is_out = endpoint.ejected_until > self.now || self.is_unresponsive(endpoint);
-        !is_out && endpoint.consecutive_failures > 0
+    /// Returns whether an endpoint's ejection is over and no attempt has succeeded since. An unresponsive
+    /// endpoint is not recovering.
+    pub(super) fn is_recovering(&self, endpoint: &ExpectedEndpoint) -> bool {
+        let is_unavailable = endpoint.ejected_until > self.now || self.is_unresponsive(endpoint);
+        !is_unavailable && endpoint.consecutive_ejections > 0
     }
 
-    /// A safe request shows at once whether an endpoint has recovered, a keyed one half an ejection later, another
-    /// a whole one later, and these two within their budget.
-    fn may_test_recovery(&self, id: &RequestId, endpoint: &Endpoint) -> bool {
+    /// Returns whether a request may test a recovering endpoint. A safe request may do so at once, a keyed
+    /// request after half the duration of the latest ejection, and a non-idempotent one after the whole
+    /// duration; the latter two only within their budget.
+    fn may_test_recovery(&self, id: &RequestId, endpoint: &ExpectedEndpoint) -> bool {
         let class = &self.settings.classes[self.requests[id].class];
         let untested_for = self.now - endpoint.ejected_until.max(endpoint.recovery_tested_at);
-        let ejection = super::ejection_time(endpoint.consecutive_failures - 1);
+        let ejection = super::ejection_time(endpoint.consecutive_ejections - 1);
         match class.idempotency {
             Idempotency::Safe => true,
             Idempotency::Keyed => self.recovery_tests >= 1.0 && untested_for >= ejection / 2,
@@ -204,7 +211,7 @@
     fn cost(
         &self,
         comparison: &Comparison,
-        endpoint: &Endpoint,
+        endpoint: &ExpectedEndpoint,
         warm_fraction: f64,
         random_state: &mut u64,
     ) -> f64 {
@@ -221,7 +228,7 @@
         wait / capacity * distance * (1.0 + 10.0 * risk).powi(2)
     }
 
-    fn failure_risk(&self, comparison: &Comparison, endpoint: &Endpoint) -> f64 {
+    fn failure_risk(&self, comparison: &Comparison, endpoint: &ExpectedEndpoint) -> f64 {
         let kinds = [comparison.class, comparison.plan, comparison.unanswered];
         if kinds.iter().all(|fleet| fleet.share <= 0.01) {
             return 0.0;
@@ -234,7 +241,7 @@
         share(comparison.class).max(share(comparison.plan)).max(unanswered)
     }
 
-    /// The active endpoints, from where this node's part of the ring begins.
+    /// Returns the active endpoints in the order of the ring, from this node's first position on.
     fn ring(&self) -> Vec<EndpointId> {
         let mut ring: Vec<EndpointId> = self
             .endpoints
@@ -247,7 +254,7 @@
         ring
     }
 
-    /// The endpoints that the node sends to, in the order of the ring.
+    /// Returns the endpoints of the node's subset, in the order of the ring.
     pub fn subset(&self) -> Vec<EndpointId> {
         let mut subset = self.ring();
         let size = (subset.len() * 24).div_ceil(self.settings.node_count as usize).max(12);
@@ -256,20 +263,20 @@
         subset
     }
 
-    /// The share of its full capacity that an endpoint has at least.
-    pub(super) fn warm_fraction(&self, endpoint: &Endpoint) -> f64 {
+    /// Returns the least share of its full capacity that an endpoint has, 0 to 1.
+    pub(super) fn warm_fraction(&self, endpoint: &ExpectedEndpoint) -> f64 {
         let rules = &self.settings.warm_up;
         if endpoint.started_at == 0 {
             return 1.0;
         }
         let progress = (self.now - endpoint.started_at) as f64 / rules.duration as f64;
-        let max_eagerness = (rules.overload_multiple / 2.0).clamp(1.0, 1.5);
-        let eagerness = if endpoint.latency < self.latency { max_eagerness } else { 1.0 };
-        (eagerness * (rules.initial_fraction + (1.0 - rules.initial_fraction) * progress)).min(1.0)
+        let max_speed_factor = (rules.overload_multiple / 2.0).clamp(1.0, 1.5);
+        let speed_factor = if endpoint.latency < self.latency { max_speed_factor } else { 1.0 };
+        (speed_factor * (rules.initial_fraction + (1.0 - rules.initial_fraction) * progress)).min(1.0)
     }
 
-    /// Whether an endpoint answers nobody.
-    pub(super) fn is_unresponsive(&self, endpoint: &Endpoint) -> bool {
+    /// Returns whether an endpoint is unresponsive: it has attempts in flight and sends no responses.
+    pub(super) fn is_unresponsive(&self, endpoint: &ExpectedEndpoint) -> bool {
         let mut since_ejection =
             endpoint.in_flight.iter().filter(|&&sent_at| sent_at >= endpoint.ejected_until);
         let Some(&oldest) = since_ejection.next() else { return false };
@@ -277,7 +284,8 @@
         (self.now - oldest.max(endpoint.last_response_at)) as f64 > self.latency_bound() * factor
     }
 
-    /// Whether an endpoint drops repeats of a request that may have run; any may be sent one that has not.
+    /// Returns whether an endpoint drops repeats of a request that may have run. If the request has certainly
+    /// not run, or is not keyed, this is true of every endpoint.
     fn is_in_deduplication_group(&self, id: &RequestId, endpoint: EndpointId) -> bool {
         let request = &self.requests[id];
         let class = &self.settings.classes[request.class];
@@ -290,21 +298,25 @@
     }
 }
 
-/// The endpoints beyond the subset that are examined: all of them, in the order of their ids, for a repeat
-/// that is bound to a group; else a sample from a random start. Draws a random number in either case.
-fn sample_of_rest(rest: &[EndpointId], is_bound: bool, random_state: &mut u64) -> Vec<EndpointId> {
-    let step = rest.len().div_ceil(MAX_EXAMINED);
+/// Returns the endpoints beyond the subset that are examined: for a repeat that is bound to a group, all of
+/// them in the order of their ids; else a sample from a random start. Draws one random number in either case.
+fn sample_beyond_subset(
+    beyond_subset: &[EndpointId],
+    is_bound: bool,
+    random_state: &mut u64,
+) -> Vec<EndpointId> {
+    let step = beyond_subset.len().div_ceil(MAX_EXAMINED);
     let start = (random_number(random_state) * step as f64) as usize;
     if is_bound {
-        let mut by_id = rest.to_vec();
+        let mut by_id = beyond_subset.to_vec();
         by_id.sort();
         by_id
     } else {
-        rest.iter().copied().skip(start).step_by(step).collect()
+        beyond_subset.iter().copied().skip(start).step_by(step).collect()
     }
 }
 
-/// The next random number of [0, 1) of the node's own sequence.
+/// Returns the next random number in [0, 1) of the sequence that the node draws from.
 pub fn random_number(state: &mut u64) -> f64 {
     let sum = state.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let once = (sum ^ (sum >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Endpoints that warm up under the sum of what twenty to thirty nodes send: they get part of the load and
-//! survive it.
+//! Slow start in a fleet: endpoints that warm up get a part of the load of twenty to thirty nodes, and the
+//! nodes together do not overload them.
 
 mod common;
 mod warm_up;
@@ -8,7 +8,7 @@
 use edge_node::decision::WarmUp;
 use warm_up::{NodeOutage, Scenario, Simulation};
 
-/// Few warming endpoints among many warm ones, under a burst.
+/// Few endpoints that warm up among many warm ones, under a burst.
 fn few_among_many_under_burst(warm_up: &WarmUp) -> Scenario {
     Scenario {
         node_count: 25,
@@ -16,11 +16,11 @@
         warming_count: 3,
         load_before: 0.6,
         load_in_burst: 0.9,
-        ..Scenario::calm(warm_up)
+        ..Scenario::without_load(warm_up)
     }
 }
 
-/// More warming endpoints than warm ones, under a burst that begins a second later.
+/// More endpoints that warm up than warm ones, under a burst that begins a second after their start.
 fn more_warming_than_warm(warm_up: &WarmUp) -> Scenario {
     Scenario {
         node_count: 20,
@@ -29,11 +29,11 @@
         load_before: 0.6,
         load_in_burst: 0.9,
         burst_after: SECOND,
-        ..Scenario::calm(warm_up)
+        ..Scenario::without_load(warm_up)
     }
 }
 
-/// A burst beyond what the warm endpoints can serve, after hardly any load.
+/// A burst that exceeds the capacity of the warm endpoints, after hardly any load.
 fn burst_after_idle_time(warm_up: &WarmUp) -> Scenario {
     Scenario {
         node_count: 30,
@@ -42,11 +42,11 @@
         load_before: 0.02,
         load_in_burst: 1.2,
         burst_after: 8 * SECOND,
-        ..Scenario::calm(warm_up)
+        ..Scenario::without_load(warm_up)
     }
 }
 
-/// Twice what the warm endpoints can serve.
+/// A burst of twice the capacity of the warm endpoints.
 fn far_more_than_warm_ones_can_serve(warm_up: &WarmUp) -> Scenario {
     Scenario {
         node_count: 30,
@@ -54,11 +54,11 @@
         warming_count: 8,
         load_before: 0.9,
         load_in_burst: 2.0,
-        ..Scenario::calm(warm_up)
+        ..Scenario::without_load(warm_up)
     }
 }
 
-/// Seven in ten nodes are killed for two seconds during the burst.
+/// Seven in ten nodes are killed during the burst and are down for two seconds.
 fn most_nodes_killed(warm_up: &WarmUp) -> Scenario {
     Scenario {
         node_count: 28,
@@ -67,7 +67,7 @@
         load_before: 1.0,
         load_in_burst: 1.4,
         outage: Some(NodeOutage { after: SECOND, duration: 2 * SECOND }),
-        ..Scenario::calm(warm_up)
+        ..Scenario::without_load(warm_up)
     }
 }
 
@@ -81,15 +81,22 @@
     ]
 }
 
-/// Asserts that the warming endpoints survive what they get, and that they get some of it.
+/// Asserts for each scenario that the endpoints that warm up are not overloaded, and that they get some load.
 fn assert_warming_endpoints_are_used_and_survive(warm_up: &WarmUp) {
     for (number, scenario) in scenarios(warm_up).iter().enumerate() {
         for seed in 1..=3 {
             let outcome = Simulation::new(scenario, seed).run();
-            let fullest = outcome.fullest_window;
+            let peak = outcome.peak_window_load;
             let share = outcome.warming_share;
-            assert!(fullest <= 1.0, "scenario {number}, seed {seed}: {fullest:.2} of the survivable load");
-            assert!(share > 0.02, "scenario {number}, seed {seed}: {share:.3} to the warming endpoints");
+            assert!(
+                peak <= 1.0,
+                "scenario {number}, seed {seed}: {peak:.2} of the survivable load; expected at most 1"
+            );
+            assert!(
+                share > 0.02,
+                "scenario {number}, seed {seed}: {share:.3} of the attempts went to warming endpoints; \
+                 expected more than 0.02"
+            );
         }
     }
 }
--- a/tests/warm_up/mod.rs
+++ b/tests/warm_up/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of decision engines before one model of the endpoints, some of which warm up, on given time and a
-//! seed.
+//! A simulation of a fleet of decision engines that send to one model of the endpoints, some of which warm
+//! up. It runs on simulated time and from a seed.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -15,25 +15,25 @@
 const CAPACITY: f64 = 16.0;
 /// When the nodes start.
 const NODES_START: Micros = 100 * SECOND;
-/// When the endpoints that warm up start.
+/// When the warming endpoints, which are those that warm up during the run, start.
 const WARM_UP_START: Micros = 110 * SECOND;
 /// When the run ends.
 const END: Micros = 130 * SECOND;
-/// Time of a request beside its work.
+/// Time that a request takes in addition to its work.
 const OVERHEAD: Micros = 60 * MILLISECOND;
-/// Time that a client leaves for the response to arrive.
+/// Time before its deadline at which an attempt is given up, which leaves time for the response to arrive.
 const RESPONSE_MARGIN: Micros = 25 * MILLISECOND;
 
-/// Seven in ten nodes are killed so long after the warming endpoints' start, and are back after the outage;
-/// meanwhile the others get the requests that come for them.
+/// An outage of seven in ten nodes: they are killed `after` the warming endpoints' start and restart when the
+/// outage ends. During the outage the other nodes get their requests.
 #[derive(Clone, Copy)]
 pub struct NodeOutage {
     pub after: Micros,
     pub duration: Micros,
 }
 
-/// A scenario: nodes, endpoints that are warm, some that start during the run and warm up, and the load, as a
-/// share of what the warm ones can serve.
+/// A scenario: the nodes, the endpoints that are warm, the endpoints that start during the run and warm up,
+/// and the load as a share of the capacity of the warm endpoints.
 pub struct Scenario {
     pub node_count: u32,
     pub warm_count: u32,
@@ -47,8 +47,8 @@
 }
 
 impl Scenario {
-    /// A fleet without load and without an outage, to be filled in.
-    pub fn calm(warm_up: &WarmUp) -> Scenario {
+    /// Returns a scenario without nodes, endpoints, load and outage, from which the others are derived.
+    pub fn without_load(warm_up: &WarmUp) -> Scenario {
         Scenario {
             node_count: 0,
             warm_count: 0,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// How many nodes are not killed.
+    /// Returns how many nodes are not killed.
     fn survivor_count(&self) -> usize {
         (self.node_count as usize * 3).div_ceil(10)
     }
@@ -74,12 +74,12 @@
         node >= self.survivor_count() && self.outage.is_some_and(is_during)
     }
 
-    /// Whether an endpoint starts during the run, and not warm.
+    /// Returns whether an endpoint starts during the run and warms up.
     fn starts_during_run(&self, endpoint: u64) -> bool {
         endpoint >= u64::from(self.warm_count)
     }
 
-    /// The share of its capacity that an endpoint has.
+    /// Returns the share of its full capacity that an endpoint has at the time `at`, 0 to 1.
     fn warm_fraction(&self, endpoint: u64, at: Micros) -> f64 {
         if !self.starts_during_run(endpoint) {
             return 1.0;
@@ -88,7 +88,7 @@
         (self.warm_up.initial_fraction + (1.0 - self.warm_up.initial_fraction) * progress).min(1.0)
     }
 
-    /// The load as a share of what the warm endpoints can serve.
+    /// Returns the load as a share of the capacity of the warm endpoints.
     fn load(&self, now: Micros) -> f64 {
         if now < WARM_UP_START + self.burst_after {
             self.load_before
@@ -97,13 +97,13 @@
         }
     }
 
-    /// The endpoint list before the warming endpoints start.
+    /// Returns the endpoint list before the warming endpoints start.
     fn warm_list(&self) -> Event {
         let entries = (0..self.warm_count).map(|id| endpoint_entry(id, EndpointState::Active, 0)).collect();
         Event::EndpointsUpdated { kind: EndpointUpdateKind::Snapshot, entries }
     }
 
-    /// The endpoint list from their start on.
+    /// Returns the endpoint list from the start of the warming endpoints on.
     fn full_list(&self) -> Event {
         let entry = |id: u32| -> EndpointEntry {
             let started_at = if id < self.warm_count { 0 } else { WARM_UP_START };
@@ -115,11 +115,11 @@
 }
 
 enum Occurrence {
-    /// A client sends a request to a node.
+    /// A client may send a request to a node.
     Request { node: usize },
-    /// An event for the process that was the node's `incarnation`-th.
+    /// An event for a node, which is handled only if the node has restarted `incarnation` times.
     Event { node: usize, incarnation: u32, event: Event },
-    /// A killed node is back, with nothing but its endpoint list.
+    /// A killed node restarts and knows only its endpoint list.
     Restart { node: usize },
 }
 
@@ -129,15 +129,16 @@
     occurrence: Occurrence,
 }
 
-/// What is to happen, in order of time; at one point in time in the order in which it was added.
+/// The occurrences to come, in the order of time. Those at the same time come in the order in which they were
+/// added.
 #[derive(Default)]
-struct Agenda {
+struct Schedule {
     order: BinaryHeap<Reverse<(Micros, u64)>>,
     occurrences: BTreeMap<u64, Occurrence>,
     next_number: u64,
 }
 
-impl Agenda {
+impl Schedule {
     fn add(&mut self, at: Micros, occurrence: Occurrence) {
         self.order.push(Reverse((at, self.next_number)));
         self.occurrences.insert(self.next_number, occurrence);
@@ -150,11 +151,11 @@
     }
 }
 
-/// How the warm-up went.
+/// The result of a run.
 pub struct WarmUpOutcome {
-    /// The fullest window of any warming endpoint, relative to the load that it survives.
-    pub fullest_window: f64,
-    /// The share of all attempts that the warming endpoints got.
+    /// The greatest load of any warming endpoint within one window, relative to the load that it survives.
+    pub peak_window_load: f64,
+    /// The share of all attempts since the start of the warming endpoints that went to them, 0 to 1.
     pub warming_share: f64,
 }
 
@@ -164,15 +165,16 @@
     seed: u64,
     settings: Settings,
     random: Rng,
-    agenda: Agenda,
+    schedule: Schedule,
     nodes: Vec<DecisionEngine>,
     incarnations: Vec<u32>,
     request_count: u64,
     deadlines: BTreeMap<RequestId, Micros>,
-    /// By request, when its attempts were sent.
+    /// For each request, when its attempts were sent.
     attempts: BTreeMap<RequestId, Vec<Micros>>,
-    /// By endpoint, when its queue is worked off, and when attempts arrived.
+    /// For each endpoint, when it has completed the attempts in its queue.
     busy_until: BTreeMap<u64, Micros>,
+    /// For each endpoint, when attempts arrived.
     arrivals: BTreeMap<u64, Vec<Micros>>,
 }
 
@@ -188,7 +190,7 @@
             seed,
             settings,
             random: Rng::with_seed(seed),
-            agenda: Agenda::default(),
+            schedule: Schedule::default(),
             nodes: Vec::new(),
             incarnations: vec![0; scenario.node_count as usize],
             request_count: 0,
@@ -201,7 +203,7 @@
             simulation.nodes.push(simulation.engine(node, 0));
         }
         for node in 0..scenario.node_count as usize {
-            simulation.plan(node);
+            simulation.schedule_external_events(node);
         }
         simulation
     }
@@ -211,21 +213,21 @@
         DecisionEngine::new(seed, Settings { node_index, ..self.settings.clone() })
     }
 
-    /// Plans what happens to a node from outside.
-    fn plan(&mut self, node: usize) {
+    /// Schedules what happens to a node from outside: its endpoint lists, the first request and a restart.
+    fn schedule_external_events(&mut self, node: usize) {
         let warm_list = Occurrence::Event { node, incarnation: 0, event: self.scenario.warm_list() };
         let full_list = Occurrence::Event { node, incarnation: 0, event: self.scenario.full_list() };
-        self.agenda.add(NODES_START, warm_list);
-        self.agenda.add(WARM_UP_START, full_list);
-        self.agenda.add(NODES_START + 1, Occurrence::Request { node });
+        self.schedule.add(NODES_START, warm_list);
+        self.schedule.add(WARM_UP_START, full_list);
+        self.schedule.add(NODES_START + 1, Occurrence::Request { node });
         if let Some(outage) = self.scenario.outage.filter(|_| node >= self.scenario.survivor_count()) {
             let back_at = WARM_UP_START + outage.after + outage.duration;
-            self.agenda.add(back_at, Occurrence::Restart { node });
+            self.schedule.add(back_at, Occurrence::Restart { node });
         }
     }
 
     pub fn run(mut self) -> WarmUpOutcome {
-        while let Some(scheduled) = self.agenda.take().filter(|scheduled| scheduled.at < END) {
+        while let Some(scheduled) = self.schedule.take().filter(|scheduled| scheduled.at < END) {
             let now = scheduled.at;
             match scheduled.occurrence {
                 Occurrence::Event { node, incarnation, event } => {
@@ -241,17 +243,17 @@
                 Occurrence::Request { node } => self.request(node, now),
             }
         }
-        WarmUpOutcome { fullest_window: self.fullest_window(), warming_share: self.warming_share() }
+        WarmUpOutcome { peak_window_load: self.peak_window_load(), warming_share: self.warming_share() }
     }
 
-    /// A client of a node may send a request, and the next one is planned. Requests are drawn at the higher
-    /// of the two loads and thinned out, so that a burst begins exactly on time.
+    /// Sends a client's request to a node and schedules the next one. Requests are scheduled at the higher of
+    /// the two loads and randomly dropped down to the present load, so that a burst begins exactly on time.
     fn request(&mut self, node: usize, now: Micros) {
         let scenario = self.scenario;
         let highest_load = scenario.load_before.max(scenario.load_in_burst);
         let rate = highest_load * CAPACITY * f64::from(scenario.warm_count) / f64::from(scenario.node_count);
         let gap = -(1.0 - self.random.f64()).ln() / rate * 1e6;
-        self.agenda.add(now + gap.max(1.0) as Micros, Occurrence::Request { node });
+        self.schedule.add(now + gap.max(1.0) as Micros, Occurrence::Request { node });
         if self.random.f64() >= scenario.load(now) / highest_load {
             return;
         }
@@ -275,7 +277,7 @@
         self.handle(node, now, Event::RequestReceived(request));
     }
 
-    /// Has a node handle an event and does what it decides.
+    /// Has a node handle an event and executes its actions.
     fn handle(&mut self, node: usize, now: Micros, event: Event) {
         let mut actions = Vec::new();
         self.nodes[node].handle(now, event, &mut actions);
@@ -297,10 +299,12 @@
 
     fn add_event(&mut self, at: Micros, node: usize, event: Event) {
         let incarnation = self.incarnations[node];
-        self.agenda.add(at, Occurrence::Event { node, incarnation, event });
+        self.schedule.add(at, Occurrence::Event { node, incarnation, event });
     }
 
-    /// An attempt queues at its endpoint, which works it off at the speed that it has on arrival.
+    /// Adds an attempt to the queue of its endpoint, which serves it at the speed that the endpoint has when
+    /// the attempt arrives. An attempt that would be done too late is given up and takes none of the
+    /// endpoint's time.
     fn start_attempt(&mut self, node: usize, now: Micros, request: RequestId, endpoint: EndpointId) {
         self.arrivals.entry(endpoint.0).or_default().push(now);
         let work = (1e6 / (CAPACITY * self.scenario.warm_fraction(endpoint.0, now))) as Micros;
@@ -331,7 +335,7 @@
         let end = EndedAttempt {
             request,
             attempt_number,
-            // The node finds the endpoint by the attempt.
+            // The node knows the endpoint of the attempt and does not read this field.
             endpoint: EndpointId::default(),
             outcome: Outcome::Cancelled,
             elapsed: now - sent_at,
@@ -341,12 +345,12 @@
         self.add_event(now, node, Event::AttemptEnded(end));
     }
 
-    /// Over all warming endpoints, the most attempts within one window of `overload_duration` while it was
-    /// warming up, relative to what it survives.
-    fn fullest_window(&self) -> f64 {
+    /// Returns the greatest number of attempts that any warming endpoint got within a window of
+    /// `overload_duration` while it was warming up, relative to the number that it survives.
+    fn peak_window_load(&self) -> f64 {
         let scenario = self.scenario;
         let rules = &scenario.warm_up;
-        let mut fullest = 0.0f64;
+        let mut peak = 0.0f64;
         for (&endpoint, arrivals) in self.arrivals.iter().filter(|(id, _)| scenario.starts_during_run(**id)) {
             for (last, &until) in arrivals.iter().enumerate() {
                 let from = until.saturating_sub(rules.overload_duration).max(WARM_UP_START);
@@ -357,13 +361,13 @@
                 let count = arrivals[..=last].iter().filter(|&&at| at >= from).count() as f64;
                 let survivable =
                     rules.overload_multiple * warm_fraction * CAPACITY * rules.overload_duration as f64 / 1e6;
-                fullest = fullest.max(count / (survivable + 2.0 * survivable.sqrt() + 2.0));
+                peak = peak.max(count / (survivable + 2.0 * survivable.sqrt() + 2.0));
             }
         }
-        fullest
+        peak
     }
 
-    /// The share of all attempts since the warming endpoints' start that they got.
+    /// Returns the share of all attempts since the start of the warming endpoints that went to them.
     fn warming_share(&self) -> f64 {
         let mut to_warming = 0;
         let mut to_all = 0;
