--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -1,7 +1,7 @@
 //! Load shedding: estimates the response time of a new request, and rejects the request if that time is too
 //! long.
 
-use super::balancer::{Balancer, Endpoint, COMPLETION_TIME_CONSTANT};
+use super::balancer::{Balancer, EndpointBalancingState, COMPLETION_TIME_CONSTANT};
 use super::estimators::{DecayingMean, MICROS_PER_SECOND};
 use super::{Micros, NewRequest, Settings, TICK_INTERVAL};
 
@@ -148,7 +148,7 @@
 /// an attempt sent more than `latency_bound` microseconds later succeeded. They stay in flight until their
 /// clients disconnect, and one or two of them would look like a fully loaded fleet. The drawback: requests
 /// that take much longer than others are not counted either.
-fn attempts_being_served(endpoint: &Endpoint, latency_bound: f64) -> usize {
+fn attempts_being_served(endpoint: &EndpointBalancingState, latency_bound: f64) -> usize {
     let lost_before = endpoint.last_success_sent_at.saturating_sub(latency_bound as Micros);
     endpoint.in_flight_since_ejection().filter(|&sent_at| sent_at >= lost_before).count()
 }
