--- a/src/net/descriptor_budget.rs
+++ b/src/net/descriptor_budget.rs
@@ -1,4 +1,4 @@
-//! The file descriptors that connections of clients and to endpoints share.
+//! The budget of file descriptors that client connections and endpoint connections share.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,63 +11,77 @@
 
 /// Descriptors reserved for the listener, discovery, the counter, the runtime and the standard streams.
 pub const RESERVED_DESCRIPTORS: usize = 24;
-/// The share of the permits that clients may hold: every open request needs one on either side.
+/// The largest share of the permits that client connections may hold. An open request needs one permit
+/// downstream and one upstream, so some permits have to remain for endpoint connections.
 const DOWNSTREAM_SHARE: f64 = 0.6;
-/// The fewest permits in all, and for clients.
+/// The smallest number of permits in total.
 const MIN_PERMITS: usize = 4;
+/// The smallest number of permits for client connections.
 const MIN_DOWNSTREAM_PERMITS: usize = 2;
-/// How long a connection that was asked to close may take before the next one is asked.
+/// How long a connection may take to close after it was asked to, before the next one is asked as well.
 const EVICTION_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// How many connections may be open, and how many are.
+/// Issues one permit for each open connection and selects the connections that are closed when none is left.
 pub struct DescriptorBudget {
+    /// The number of permits in total.
     max_connections: usize,
+    /// How many of the permits client connections may hold.
     max_downstream: usize,
+    /// The number of permits in use. May exceed `max_connections` after `acquire_beyond_limit`.
     open_connections: Cell<usize>,
+    /// The number of permits that client connections hold.
     open_downstream: Cell<usize>,
-    /// Signalled when a permit was returned or a connection can be closed.
+    /// Notified when a permit is returned, when a connection becomes closable, and when a connection is
+    /// classified.
     changed: Notify,
+    /// The sequence number of the next registration.
     next_order: Cell<u64>,
-    /// Client connections so new that their first request may still be unread.
+    /// The number of client connections that are so new that their first request may still be unread.
     unclassified: Cell<usize>,
-    /// Client connections without an open request, in the order in which they are closed.
+    /// The client connections without an open request, in the order in which they are asked to close.
     idle_downstream: RefCell<BTreeMap<IdleRegistration, Rc<Notify>>>,
-    /// Client connections on which a request has arrived in part, in the order in which they may be aborted.
+    /// The client connections on which a request has arrived in part, in the order in which they may be
+    /// aborted.
     partial_requests: RefCell<BTreeMap<PartialRequestRegistration, Rc<Notify>>>,
 }
 
-/// A client connection's place among the idle ones. Those that have never sent a request come first, then those idle
-/// for longest.
+/// Identifies an idle client connection and gives its order among the idle ones.
+///
+/// Connections that have never sent a request come first, then those that have been idle for longest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct IdleRegistration {
+    /// Whether the connection has sent a request since it was opened.
     has_sent_request: bool,
-    /// Rises with each registration: the lowest has been idle for longest.
+    /// Increases with each registration, so the lowest number has been idle for longest.
     idle_order: u64,
 }
 
-/// The place of a client connection on which a request has arrived in part among all such connections.
+/// Identifies a client connection on which a request has arrived in part and gives its order among such
+/// connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PartialRequestRegistration {
+    /// From when on the connection may be aborted.
     evictable_at: Instant,
-    /// Distinguishes those of one time.
+    /// Distinguishes registrations with the same `evictable_at`.
     order: u64,
 }
 
-/// Which side a connection belongs to.
+/// The side of the node that a connection belongs to.
 #[derive(Clone, Copy, PartialEq)]
 enum Side {
     Downstream,
     Upstream,
 }
 
-/// The permit of one open connection, returned when dropped.
+/// The permit for one open connection. Dropping it returns it to the budget.
 pub struct DescriptorPermit {
     budget: Rc<DescriptorBudget>,
     side: Side,
 }
 
 impl DescriptorBudget {
-    /// A budget for a process that may hold this many descriptors.
+    /// Creates the budget of a process that may hold `descriptors` file descriptors, `RESERVED_DESCRIPTORS`
+    /// of which are kept for other uses.
     pub fn new(descriptors: usize) -> Rc<Self> {
         let max_connections = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_PERMITS);
         let downstream_share = (max_connections as f64 * DOWNSTREAM_SHARE) as usize;
@@ -84,7 +98,8 @@
         })
     }
 
-    /// A permit for a client connection, if one is free.
+    /// Returns a permit for a client connection. Returns `None` if all permits, or all of the clients' share,
+    /// are in use.
     pub fn try_acquire_downstream(self: &Rc<Self>) -> Option<DescriptorPermit> {
         if self.open_downstream.get() >= self.max_downstream || self.is_exhausted() {
             return None;
@@ -92,7 +107,7 @@
         Some(self.issue(Side::Downstream))
     }
 
-    /// A permit for a connection to an endpoint, if one is free.
+    /// Returns a permit for a connection to an endpoint. Returns `None` if all permits are in use.
     pub fn try_acquire_upstream(self: &Rc<Self>) -> Option<DescriptorPermit> {
         if self.is_exhausted() {
             return None;
@@ -100,8 +115,11 @@
         Some(self.issue(Side::Upstream))
     }
 
-    /// A permit for a client connection beyond the limits, out of the reserved descriptors: for what the kernel has
-    /// accepted when the listener closes, which nobody else will serve.
+    /// Returns a permit for a client connection even if the limits are reached; its descriptor is one of the
+    /// reserved.
+    ///
+    /// For the connections that are in the backlog when the listener closes, since no other process serves
+    /// them.
     pub fn acquire_beyond_limit(self: &Rc<Self>) -> DescriptorPermit {
         self.issue(Side::Downstream)
     }
@@ -114,15 +132,18 @@
         DescriptorPermit { budget: self.clone(), side }
     }
 
-    /// Whether all permits are in use, and not just the clients' share.
+    /// Returns whether all permits are in use, and not only the clients' share of them.
     pub fn is_exhausted(&self) -> bool {
         self.open_connections.get() >= self.max_connections
     }
 
-    /// Waits for a permit, closing one connection after the other to free it.
+    /// Waits until `try_acquire` returns a permit, and calls `close_one` to have connections closed until
+    /// then.
     ///
-    /// Waiting alone would starve new clients while those with permits are idle. What is asked to close takes a
-    /// little time, in which no other connection must be closed in its place.
+    /// Without closing connections, idle clients that hold permits would starve new ones. A connection that
+    /// was asked to close gets `EVICTION_TIMEOUT` for it, during which no other connection is asked. If
+    /// `close_one` returns `false`, there is no connection to close, and the call waits for the budget to
+    /// change.
     pub async fn acquire_or_evict(
         &self,
         try_acquire: impl Fn() -> Option<DescriptorPermit>,
@@ -143,7 +164,7 @@
         }
     }
 
-    /// Waits for a change, or until a connection with a partial request may be aborted.
+    /// Waits until the budget changes or the first connection with a partial request may be aborted.
     async fn wait_for_eviction(&self, changed: impl Future<Output = ()>) {
         let evictable_at = self.partial_requests.borrow().keys().next().map(|first| first.evictable_at);
         match evictable_at {
@@ -165,12 +186,13 @@
         }
     }
 
-    /// A connection can be closed now: wakes those that wait for a permit.
+    /// Wakes the tasks that wait for a permit, because a permit was returned or a connection can be closed
+    /// now.
     pub fn notify_waiters(&self) {
         self.changed.notify_waiters();
     }
 
-    /// A client connection is idle; it may be asked to close through `close`.
+    /// Registers a client connection as idle. The budget notifies `close` to ask the connection to close.
     pub fn register_idle(&self, close: Rc<Notify>, has_sent_request: bool) -> IdleRegistration {
         let registration = IdleRegistration { has_sent_request, idle_order: self.next_order() };
         self.idle_downstream.borrow_mut().insert(registration, close);
@@ -178,8 +200,8 @@
         registration
     }
 
-    /// A request has arrived in part on a client connection; from `evictable_at` on the connection may be ended
-    /// through `abort`.
+    /// Registers a client connection on which a request has arrived in part. From `evictable_at` on, the
+    /// budget may notify `abort` to have the connection aborted.
     pub fn register_partial_request(
         &self,
         abort: Rc<Notify>,
@@ -191,7 +213,8 @@
         registration
     }
 
-    /// The request has arrived in full or a further part of it has, or its connection is closed.
+    /// Removes the registration of a connection on which a further part or all of the request has arrived, or
+    /// which is closed.
     pub fn unregister_partial_request(&self, registration: PartialRequestRegistration) {
         self.partial_requests.borrow_mut().remove(&registration);
     }
@@ -202,40 +225,46 @@
         order
     }
 
-    /// The connection with this registration is in use, or closed.
+    /// Removes the registration of a connection that is no longer idle or is closed.
     pub fn unregister_idle(&self, registration: IdleRegistration) {
         self.idle_downstream.borrow_mut().remove(&registration);
     }
 
-    /// A client has connected; whether it sends a request is not known yet.
+    /// Counts a new client connection as unclassified: whether it sends a request is not known yet.
     pub fn connection_opened(&self) {
         self.unclassified.set(self.unclassified.get() + 1);
     }
 
-    /// Whether a new client connection has a request or stays without one is known by now.
+    /// Ends the count of a client connection as unclassified: it has sent a request, has been without one for
+    /// long enough to count as idle, or is closed.
     pub fn connection_classified(&self) {
         self.unclassified.set(self.unclassified.get() - 1);
         self.notify_waiters();
     }
 
-    /// Asks a client connection to close: the first that has been without a request from its start; or else the one
-    /// whose partial request may be given up for longest; or else the one that has been idle for longest. False if
-    /// there is none.
+    /// Asks one client connection to close. Returns `false` if no client connection may be closed.
+    ///
+    /// An idle connection that has never sent a request is closed first. If there is none, the connection
+    /// whose partial request became evictable first is aborted. If there is none of these either, the
+    /// connection that has been idle for longest is closed.
     ///
-    /// While at least half of the clients' share is not classified yet, idle connections that have sent requests are
-    /// not closed: a flood of connections without a request would push out those in use. With fewer, waiting for them
-    /// would keep out new clients.
+    /// While the number of unclassified connections is at least half of the clients' share, idle connections
+    /// that have sent requests are not closed: otherwise a flood of connections without requests would evict
+    /// the connections in use. If fewer are unclassified, such idle connections are closed, because sparing
+    /// them would keep new clients waiting.
     pub fn close_idle_downstream(&self) -> bool {
         self.close_first_idle(|first| !first.has_sent_request)
             || self.abort_partial_request()
             || self.close_first_idle(|_| !self.is_flooded())
     }
 
-    /// Whether client connections with a partial request hold at least half of the clients' share.
+    /// Returns whether the client connections with a partial request hold at least half of the clients'
+    /// share.
     pub fn is_flooded_by_partial_requests(&self) -> bool {
         self.partial_requests.borrow().len() * 2 >= self.max_downstream
     }
 
+    /// Returns whether at least half of the clients' share is unclassified.
     fn is_flooded(&self) -> bool {
         self.unclassified.get() * 2 >= self.max_downstream
     }
@@ -253,7 +282,7 @@
         first.map(|first| first.remove().notify_one()).is_some()
     }
 
-    /// How many clients are connected.
+    /// Returns the number of open client connections.
     pub fn downstream_connections(&self) -> usize {
         self.open_downstream.get()
     }
--- a/src/net/downstream/connection.rs
+++ b/src/net/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! The life of one connection of a client, from its acceptance until it closes.
+//! Serves one client connection from the time it is accepted until it is closed.
 
 use std::convert::Infallible;
 use std::future::{pending, Future};
@@ -25,42 +25,43 @@
 use crate::net::downstream::response::close_connection;
 use crate::net::downstream::socket;
 
-/// Most bytes of a request head. It bounds a connection's buffers, too.
+/// The largest size of a request head in bytes. It also bounds the size of a connection's buffers.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// A new connection without a request after this long counts as idle.
+/// A new connection on which no request has arrived within this time counts as idle.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(50);
-/// How long a connection that closes may take for a request that crosses the close.
+/// How long a closing connection stays open for a request that the client sent before it could learn of the
+/// close.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One connection of a client.
+/// One client connection.
 pub struct DownstreamConnection {
-    /// Answers the connection's requests.
+    /// Answers the requests of the connection.
     pub handler: Rc<RequestHandler>,
-    /// The open connections, of which this one is to be.
+    /// The registry in which the connection is entered while it is served.
     pub registry: Rc<ConnectionRegistry>,
-    /// The socket.
+    /// The socket of the connection.
     pub stream: Rc<TcpStream>,
-    /// What is under way on the connection.
+    /// The state of the connection, shared with its socket and the registry.
     pub state: Rc<ConnectionState>,
 }
 
-/// Why the connection serves no further request.
+/// Why a connection stops serving requests.
 enum ServingEnd {
-    /// The HTTP connection ended by itself.
+    /// The HTTP connection has ended: the client closed it, it failed, or its last response was written.
     Ended,
-    /// It has to end at once.
+    /// The connection has to be closed immediately, even if a request is in progress.
     Aborted,
-    /// It is closing and nothing is under way.
+    /// The connection is closing and no request is in progress, read in part or unread.
     ReadyToClose,
 }
 
 impl DownstreamConnection {
-    /// Serves the connection until it closes, and frees its descriptor then. It closes as soon as it is idle once
-    /// `close_when_idle` changes.
+    /// Serves the connection until it is closed, then returns `permit` to the descriptor budget. After a
+    /// change of `close_when_idle` the connection is closed as soon as it is idle.
     pub async fn run(self, permit: DescriptorPermit, close_when_idle: watch::Receiver<u32>) {
         let _permit = permit;
         let _registration = self.registry.register(&self.state);
-        // Without it responses are late, not wrong.
+        // A failure is ignored: without the option responses may be delayed, but they are still correct.
         let _ = self.stream.set_nodelay(true);
         let observed = RequestBytesStream { stream: self.stream.clone(), state: self.state.clone() };
         let http_connection = http1::Builder::new()
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Answers one request of the connection.
+    /// Answers one request. Aborts the connection if the client closes it before the response is ready.
     async fn respond(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
         let framing = self.state.request_started(&request);
         let mut response = tokio::select! {
@@ -86,7 +87,7 @@
             response = self.handler.handle(request, framing, || self.state.request_received()) => response,
             () = socket::peer_closed(&self.stream) => {
                 self.state.abort();
-                // The abort drops the connection, and this future with it.
+                // The abort drops the HTTP connection and this future with it, so the future never completes.
                 pending().await
             }
         };
@@ -97,16 +98,17 @@
         Ok(response)
     }
 
-    /// Drives the connection until it ends, is aborted, or is closing with nothing under way.
+    /// Drives the connection until it ends, is aborted, or is closing and idle.
     ///
-    /// A request that was read in part or is still unread would be lost if its connection closed now. It is served
-    /// first, and its response says that the connection closes.
+    /// A request that was read in part or is still unread would be lost if its connection were closed. It is
+    /// served before the close, and its response has the header `Connection: close`.
     async fn serve_until_closing(
         &self,
         mut http_connection: Pin<&mut impl Future>,
         mut close_when_idle: watch::Receiver<u32>,
     ) -> ServingEnd {
-        // The first request of a new connection may be unread, so only one that stays without a request counts as idle.
+        // The first request of a new connection may still be unread, so the connection counts as idle only
+        // after it has had no request for `FIRST_REQUEST_TIMEOUT`.
         let mut first_request_timeout = pin!(sleep(FIRST_REQUEST_TIMEOUT));
         let mut first_request_awaited = true;
         let mut close_due = Instant::now() + CLOSE_TIMEOUT;
@@ -115,7 +117,8 @@
                 biased;
                 _ = http_connection.as_mut() => return ServingEnd::Ended,
                 () = self.state.abort_requested() => return ServingEnd::Aborted,
-                // A request that never ends would hold the descriptor for ever. Its rest may have come just now.
+                // A request that never arrives in full would hold its descriptor forever. The rest of it may
+                // have arrived since the notification, so this is checked again.
                 () = self.state.give_up_requested() => {
                     if self.state.may_give_up_partial_request(|| socket::has_unread_bytes(&self.stream)) {
                         return ServingEnd::Aborted;
@@ -123,7 +126,8 @@
                 }
                 () = self.state.close_requested() => close_due = self.start_closing(),
                 Ok(()) = close_when_idle.changed() => close_due = self.start_closing(),
-                // Bounds a client that neither completes a request head nor reads its last response.
+                // Limits the time of a client that neither completes a request head nor reads its last
+                // response.
                 () = sleep_until(close_due), if self.state.is_closing() => {
                     if !self.state.request_in_progress() {
                         return ServingEnd::Aborted;
@@ -139,17 +143,20 @@
         ServingEnd::ReadyToClose
     }
 
-    /// Makes the connection close when idle, and returns when it has to have closed.
+    /// Marks the connection to be closed when it is idle, and returns the time at which it is aborted if it
+    /// is still open and has no request in progress.
     fn start_closing(&self) -> Instant {
         self.state.start_closing();
         Instant::now() + CLOSE_TIMEOUT
     }
 
+    /// Returns whether the connection is closing and no request is in progress, read in part or unread.
     fn ready_to_close(&self) -> bool {
         self.state.is_closing() && self.state.nothing_under_way() && !socket::has_unread_bytes(&self.stream)
     }
 
-    /// Lets a connection that was shut down write what is left, for as long as a request is in progress on it.
+    /// Drives a connection after its graceful shutdown until it has written what is left. Returns earlier if
+    /// no request is in progress when a period of `CLOSE_TIMEOUT` ends.
     async fn finish(&self, mut http_connection: Pin<&mut impl Future>) {
         while timeout(CLOSE_TIMEOUT, http_connection.as_mut()).await.is_err() {
             if !self.state.request_in_progress() {
--- a/src/net/downstream/connection_registry.rs
+++ b/src/net/downstream/connection_registry.rs
@@ -1,4 +1,4 @@
-//! The open connections of clients, so that those whose request head does not arrive in time are ended.
+//! The registry of open client connections, which aborts those whose request head does not arrive in time.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -9,23 +9,24 @@
 
 use crate::net::downstream::connection_state::ConnectionState;
 
-/// How often connections are checked for a request head that takes too long.
+/// The interval at which the connections are checked for an overdue request head.
 const HEAD_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The open connections, in the order in which they were registered.
+/// The open client connections, in the order in which they were registered.
 pub struct ConnectionRegistry {
     connections: RefCell<BTreeMap<u64, Rc<ConnectionState>>>,
     next_number: Cell<u64>,
 }
 
-/// A connection's place in the registry, which it leaves when this is dropped.
+/// The registration of one connection. Dropping it removes the connection from the registry.
 pub struct ConnectionRegistration {
     registry: Rc<ConnectionRegistry>,
     number: u64,
 }
 
 impl ConnectionRegistry {
-    /// An empty registry, and the task that checks its connections for as long as it exists.
+    /// Creates an empty registry and starts the task that checks its connections. The task ends after the
+    /// registry is dropped.
     pub fn new() -> Rc<Self> {
         let registry =
             Rc::new(ConnectionRegistry { connections: RefCell::default(), next_number: Cell::default() });
@@ -33,7 +34,7 @@
         registry
     }
 
-    /// Registers a connection.
+    /// Adds a connection to the registry until the returned registration is dropped.
     pub fn register(self: &Rc<Self>, state: &Rc<ConnectionState>) -> ConnectionRegistration {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
@@ -41,6 +42,7 @@
         ConnectionRegistration { registry: self.clone(), number }
     }
 
+    /// Asks each connection whose request head is overdue to give the request up.
     fn give_up_overdue(&self) {
         for state in self.connections.borrow().values() {
             if state.head_overdue() {
--- a/src/net/downstream/connection_state.rs
+++ b/src/net/downstream/connection_state.rs
@@ -1,8 +1,10 @@
-//! What is under way on one connection of a client, and whether it may be closed.
+//! The state of one client connection: which requests are in progress or arriving, and whether it may be
+//! closed.
 //!
-//! Where descriptors run out, a connection may be closed while it is idle, and aborted while a request on it has
-//! arrived in part: at once if the client has stopped sending, and at the latest some time after it began, or slow
-//! and half-sent requests would keep all others out.
+//! When descriptors run out, an idle connection may be closed, and a connection on which a request has
+//! arrived in part may be aborted: soon after the client has stopped sending, and in any case some time after
+//! the request began. Otherwise slow and half-sent requests would hold all descriptors and block all other
+//! clients.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -17,50 +19,61 @@
 use crate::net::downstream::framing::BodyFraming;
 use crate::net::downstream::pipeline::Pipeline;
 
-/// How long a request head may take, from connecting or from its first byte.
+/// How long a request head may take to arrive, counted from the connect or from the head's first byte.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Where descriptors run out, a request that has arrived in part is given up this long after its latest byte...
+/// When descriptors run out, a request that has arrived in part may be given up this long after its latest
+/// byte.
 const PARTIAL_REQUEST_STALL: Duration = Duration::from_millis(200);
-/// ... and at the latest this long after its first. A client that sends a request in pieces has this time...
+/// When descriptors run out, a request that has arrived in part may be given up this long after its first
+/// byte, even if the client goes on sending.
 const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_millis(750);
-/// ... or this, while slow clients hold most of the descriptors: others wait for as many times this as the slow ones
-/// fill the descriptors.
+/// Replaces `PARTIAL_REQUEST_TIMEOUT` while partial requests hold at least half of the clients' share of
+/// descriptors. If slow clients fill that share several times over, other clients wait this long for each
+/// time.
 const FLOODED_PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The connection's place among those that may give way where descriptors run out.
+/// The registration of a connection that may be closed or aborted when descriptors run out.
 #[derive(Clone, Copy)]
 enum EvictionRegistration {
     Idle(IdleRegistration),
     PartialRequest(PartialRequestRegistration),
 }
 
-/// The state of one connection, shared by the task that serves it, its socket and the registry.
+/// The state of one client connection, shared by the task that serves it, its socket and the registry.
 pub struct ConnectionState {
     budget: Rc<DescriptorBudget>,
-    /// Notified by the descriptor budget when the connection is to close as soon as it is idle.
+    /// Notified by the descriptor budget when the connection has to close as soon as it is idle.
     close_requested: Rc<Notify>,
+    /// Notified when the connection has to end immediately.
     abort_requested: Notify,
-    /// Notified when a request that has arrived in part is to be given up, also by the descriptor budget.
+    /// Notified, by the registry or the descriptor budget, when a request that has arrived in part has to be
+    /// given up.
     give_up_requested: Rc<Notify>,
-    /// None while it may not give way: it is new, or a request that was read is in progress.
+    /// `None` while the connection must not be evicted: it is new, or a request that has arrived in full is
+    /// in progress.
     eviction_registration: Cell<Option<EvictionRegistration>>,
     /// Whether the connection is so new that its first request may still be unread.
     is_new: Cell<bool>,
+    /// Whether the head of a request was read on this connection.
     has_sent_request: Cell<bool>,
+    /// Whether the head of a request was read whose response is not ready yet.
     request_in_progress: Cell<bool>,
-    /// Whether the body of the request in progress has not arrived in full.
+    /// Whether a part of the body of the request in progress is still to arrive.
     body_awaited: Cell<bool>,
-    /// When the first byte arrived of the request that has arrived in part.
+    /// When the first byte of the request that has arrived in part was read. `None` if there is no such
+    /// request.
     partial_request_since: Cell<Option<Instant>>,
-    /// Since when a request head has been arriving, or has been expected on a new connection.
+    /// Since when a request head has been arriving, or has been expected on a new connection. `None` at other
+    /// times.
     head_started_at: Cell<Option<Instant>>,
     pipeline: RefCell<Pipeline>,
-    /// Whether the connection closes as soon as nothing is under way.
+    /// Whether the connection closes as soon as no request is in progress, read in part or unread.
     closing: Cell<bool>,
 }
 
 impl ConnectionState {
-    /// The state of a connection that was just accepted. It counts as new in the budget from here on.
+    /// Creates the state of a connection that was just accepted, and counts it as unclassified in the budget.
+    /// If `closing` is set, the connection closes after its first response.
     pub fn new(budget: Rc<DescriptorBudget>, closing: bool) -> Self {
         budget.connection_opened();
         ConnectionState {
@@ -80,7 +93,7 @@
         }
     }
 
-    /// Notes bytes that were read from the socket.
+    /// Records bytes that were read from the socket.
     pub fn bytes_received(&self, bytes: &[u8]) {
         self.pipeline.borrow_mut().bytes_received(bytes);
         let head_expected = !self.request_in_progress.get() && self.head_started_at.get().is_none();
@@ -92,9 +105,9 @@
         }
     }
 
-    /// Notes that the head of a request was read, and returns how the request's body ends.
+    /// Records that the head of a request was read, and returns how the end of its body is determined.
     pub fn request_started<B: Body>(&self, request: &Request<B>) -> BodyFraming {
-        self.no_longer_new();
+        self.mark_classified();
         self.has_sent_request.set(true);
         self.request_in_progress.set(true);
         self.head_started_at.set(None);
@@ -110,68 +123,71 @@
         BodyFraming::of(request.headers(), length_header)
     }
 
-    /// Notes that the request in progress has arrived in full, or that the rest of it is not read.
+    /// Records that the request in progress has arrived in full, or that the rest of it is not going to be
+    /// read.
     pub fn request_received(&self) {
         self.body_awaited.set(false);
         self.partial_request_since.set(None);
         self.deregister();
     }
 
-    /// Notes that the request in progress has its response.
+    /// Records that the response to the request in progress is ready.
     pub fn request_completed(&self) {
         self.request_received();
         self.request_in_progress.set(false);
         if self.has_partial_request() {
             self.head_started_at.set(Some(Instant::now()));
         }
-        self.register_waiting();
+        self.register_without_request();
     }
 
-    /// Notes that a new connection has had its time for a first request. Without one it counts as idle.
+    /// Records that the time for the first request of a new connection is over. A connection without one
+    /// counts as idle.
     pub fn first_request_timed_out(&self) {
-        self.no_longer_new();
+        self.mark_classified();
         if !self.has_sent_request.get() {
-            self.register_waiting();
+            self.register_without_request();
         }
     }
 
-    /// Makes the connection close as soon as nothing is under way.
+    /// Marks the connection to close as soon as no request is in progress, read in part or unread.
     pub fn start_closing(&self) {
         self.closing.set(true);
     }
 
-    /// Whether the connection closes as soon as nothing is under way.
+    /// Returns whether the connection closes as soon as no request is in progress, read in part or unread.
     pub fn is_closing(&self) -> bool {
         self.closing.get()
     }
 
-    /// Returns once the descriptor budget asks the connection to close.
+    /// Waits until the descriptor budget asks the connection to close.
     pub async fn close_requested(&self) {
         self.close_requested.notified().await;
     }
 
-    /// Ends the connection at once, whatever is under way.
+    /// Asks the connection to end immediately, even if a request is in progress.
     pub fn abort(&self) {
         self.abort_requested.notify_one();
     }
 
-    /// Returns once the connection has to end at once.
+    /// Waits until the connection is asked to end immediately.
     pub async fn abort_requested(&self) {
         self.abort_requested.notified().await;
     }
 
-    /// Asks the connection to end unless the request that is arriving has arrived in full meanwhile.
+    /// Asks the connection to give up the request that has arrived in part. The request is not given up if it
+    /// has arrived in full by the time the connection acts on this.
     pub fn give_up_partial_request(&self) {
         self.give_up_requested.notify_one();
     }
 
-    /// Returns once the request that has arrived in part is to be given up.
+    /// Waits until the connection is asked to give up the request that has arrived in part.
     pub async fn give_up_requested(&self) {
         self.give_up_requested.notified().await;
     }
 
-    /// Whether the request that is arriving may be given up: it has not arrived in full, and it has had all its time
-    /// or none of it is unread.
+    /// Returns whether the request that is arriving may be given up: it has not arrived in full, and either
+    /// its time is over or the socket holds no unread bytes of it.
     pub fn may_give_up_partial_request(&self, has_unread_bytes: impl FnOnce() -> bool) -> bool {
         let is_received = self.request_in_progress.get() && !self.body_awaited.get();
         let since = self.partial_request_since.get();
@@ -179,30 +195,33 @@
         !is_received && (is_overdue || self.head_overdue() || !has_unread_bytes())
     }
 
-    /// Whether a request has been read that has no response yet.
+    /// Returns whether the head of a request was read whose response is not ready yet.
     pub fn request_in_progress(&self) -> bool {
         self.request_in_progress.get()
     }
 
-    /// Whether no request is in progress, none was read in part, and none may be unread because the connection is new.
+    /// Returns whether no request is in progress, none was read in part, and the connection is not so new
+    /// that its first request may still be unread.
     pub fn nothing_under_way(&self) -> bool {
         !self.request_in_progress.get() && !self.pipeline.borrow().has_partial_request() && !self.is_new.get()
     }
 
-    /// Whether a request head has been arriving for too long.
+    /// Returns whether a request head has been arriving, or expected on a new connection, for longer than
+    /// `HEAD_TIMEOUT`.
     pub fn head_overdue(&self) -> bool {
         let head_started_at = self.head_started_at.get();
         !self.request_in_progress.get()
             && head_started_at.is_some_and(|started_at| started_at.elapsed() > HEAD_TIMEOUT)
     }
 
-    fn no_longer_new(&self) {
+    /// Ends the connection's count as unclassified in the budget, unless it has ended before.
+    fn mark_classified(&self) {
         if self.is_new.replace(false) {
             self.budget.connection_classified();
         }
     }
 
-    /// Whether a request has arrived in part: of its head, or of its body.
+    /// Returns whether a request has arrived in part: only some of its head, or only some of its body.
     fn has_partial_request(&self) -> bool {
         if self.request_in_progress.get() {
             self.body_awaited.get()
@@ -211,8 +230,8 @@
         }
     }
 
-    /// Registers the connection, on which no request is in progress, as idle or with a partial request.
-    fn register_waiting(&self) {
+    /// Registers the connection as idle or as having a partial request. No request is in progress on it.
+    fn register_without_request(&self) {
         if self.has_partial_request() {
             return self.register_partial_request();
         }
@@ -222,6 +241,7 @@
         self.eviction_registration.set(Some(EvictionRegistration::Idle(registration)));
     }
 
+    /// Returns how long after its first byte a partial request may be given up when descriptors run out.
     fn partial_request_timeout(&self) -> Duration {
         if self.budget.is_flooded_by_partial_requests() {
             FLOODED_PARTIAL_REQUEST_TIMEOUT
@@ -230,7 +250,8 @@
         }
     }
 
-    /// Registers that a part of a request arrived just now, unless the connection is too new to give way.
+    /// Registers the connection as having a partial request whose latest byte has just arrived. A connection
+    /// that still counts as new is not registered, since it must not be evicted.
     fn register_partial_request(&self) {
         let now = Instant::now();
         let since = self.partial_request_since.get().unwrap_or(now);
@@ -244,6 +265,7 @@
         self.eviction_registration.set(Some(EvictionRegistration::PartialRequest(registration)));
     }
 
+    /// Removes the connection from those that may be evicted.
     fn deregister(&self) {
         match self.eviction_registration.take() {
             Some(EvictionRegistration::Idle(registration)) => self.budget.unregister_idle(registration),
@@ -257,7 +279,7 @@
 
 impl Drop for ConnectionState {
     fn drop(&mut self) {
-        self.no_longer_new();
+        self.mark_classified();
         self.deregister();
     }
 }
--- a/src/net/downstream/framing.rs
+++ b/src/net/downstream/framing.rs
@@ -1,25 +1,25 @@
-//! How the body of a request ends.
+//! Determines how the end of a request's body is found.
 
 use hyper::header::TRANSFER_ENCODING;
 use hyper::HeaderMap;
 
 use crate::net::downstream::pipeline::LengthHeader;
 
-/// How the body of a request ends.
+/// How the end of a request's body is found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// By its length; or there is no body.
+    /// By the `Content-Length`, or there is no body.
     Length,
-    /// By its last chunk.
+    /// By the last chunk of a chunked body.
     Chunked,
-    /// Unknown: a chunked body that has a length as well may hide another request, and a body in another encoding is
-    /// not what an endpoint would read.
+    /// The end is ambiguous. A chunked body with a `Content-Length` may hide another request, and an endpoint
+    /// would read a body in another transfer encoding differently.
     Ambiguous,
 }
 
 impl BodyFraming {
-    /// The framing of the request with these headers. `length_header` comes from the bytes of the head, since hyper
-    /// drops the `Content-Length` of a chunked body.
+    /// Returns the framing of a request with these headers. `length_header` is read from the bytes of the
+    /// head, because hyper removes the `Content-Length` of a chunked body.
     pub fn of(headers: &HeaderMap, length_header: LengthHeader) -> Self {
         let mut encodings = headers.get_all(TRANSFER_ENCODING).iter();
         let Some(encoding) = encodings.next() else { return BodyFraming::Length };
--- a/src/net/downstream/handler.rs
+++ b/src/net/downstream/handler.rs
@@ -1,4 +1,5 @@
-//! Answers one request of a client: validates it, reads its body, and waits for the decisions' final response.
+//! Answers one client request: validates it, reads its body, submits it to the event loop and waits for the
+//! final response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,10 +20,11 @@
 use crate::net::upstream::{ForwardedRequest, MAX_BODY_BYTES};
 use crate::protocol::headers;
 
-/// The path by which a node's readiness is checked, and the response of a node that is ready.
+/// The path of the readiness check.
 const READINESS_PATH: &str = "/up";
+/// The response body of a node that is ready.
 const READINESS_BODY: &[u8] = b"up\n";
-/// How long a body may take, from when its head was validated.
+/// How long a request body may take to arrive, counted from the validation of the head.
 const BODY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Answers the requests of clients.
@@ -32,13 +34,14 @@
 }
 
 impl RequestHandler {
-    /// A handler that checks requests by these rules and hands them to this event loop.
+    /// Creates a handler that validates requests against `rules` and submits them to `event_loop`.
     pub fn new(event_loop: Rc<EventLoop>, rules: RequestRules) -> Self {
         RequestHandler { event_loop, rules }
     }
 
-    /// Answers one request. Dropping the future before it ends means that the client has disconnected. `received` is
-    /// called once the request has arrived in full.
+    /// Answers one request, and calls `received` once the request has arrived in full.
+    ///
+    /// Dropping the future before it completes reports to the event loop that the client has disconnected.
     pub async fn handle(
         &self,
         request: Request<Incoming>,
@@ -49,7 +52,8 @@
             Ok(client_response) => client_response,
             Err(error) => ClientResponse::Invalid(error),
         };
-        // The end of a chunked body is not followed in what was read ahead, so no request is read behind one.
+        // The pipeline does not find the end of a chunked body in the bytes read ahead, so no further request
+        // is read after one.
         let closes = client_response.closes_connection()
             || framing == BodyFraming::Chunked
             || self.event_loop.is_shutting_down();
@@ -82,7 +86,8 @@
         self.final_response(new_request, forward, response_due).await
     }
 
-    /// Hands a request to the decisions and waits for its final response.
+    /// Submits a request to the event loop and waits for its final response, until `response_due` at the
+    /// latest.
     async fn final_response(
         &self,
         new_request: NewRequest,
@@ -94,15 +99,15 @@
         let _disconnect_guard = DisconnectGuard { event_loop: &self.event_loop, request: &request };
         Ok(match timeout_at(response_due, response).await {
             Ok(Ok(response)) => response.into(),
-            // Not a rejection: the attempts may have run.
+            // This is a failure and not a rejection, because an attempt may have run.
             Ok(Err(_)) => ClientResponse::Failed,
             Err(_) => ClientResponse::TimedOut,
         })
     }
 }
 
-/// Reports on drop that the client of a request waits no longer. For a request that has its response by then the event
-/// loop ignores it.
+/// Reports on drop that the client of a request no longer waits. The event loop ignores the report if the
+/// request has its final response by then.
 struct DisconnectGuard<'a> {
     event_loop: &'a Rc<EventLoop>,
     request: &'a RequestId,
@@ -122,7 +127,7 @@
     }
 }
 
-/// Reads a request's body, by the time at which its response is due at the latest.
+/// Reads a request's body within `BODY_TIMEOUT`, and before `response_due`.
 async fn read_body(method: &Method, body: Incoming, response_due: Instant) -> Result<Bytes, RequestError> {
     if method == Method::GET && !body.is_end_stream() {
         return Err(RequestError::BodyOfGet);
@@ -136,7 +141,7 @@
     }
 }
 
-/// The request as it is sent to an endpoint.
+/// Builds the request that is sent to endpoints.
 fn forwarded_request(head: Parts, body: Bytes) -> Result<ForwardedRequest, RequestError> {
     let mut headers = head.headers;
     Ok(ForwardedRequest {
@@ -148,7 +153,7 @@
     })
 }
 
-/// Path and query alone, also of a request in absolute form.
+/// Returns the path and query of a request target, which may be in absolute form.
 fn origin_form(uri: Uri) -> Result<Uri, RequestError> {
     if uri.scheme().is_none() {
         return Ok(uri);
--- a/src/net/downstream/listener.rs
+++ b/src/net/downstream/listener.rs
@@ -1,4 +1,4 @@
-//! The listener: accepts the connections of clients, within the descriptor budget, until the listener closes.
+//! Accepts client connections within the descriptor budget until the listener is closed.
 
 use std::cell::Cell;
 use std::future::{poll_fn, Future};
@@ -20,10 +20,10 @@
 use crate::net::downstream::socket;
 use crate::net::event_loop::EventLoop;
 
-/// How long accepting waits for the first endpoint list at most. An agent that is up answers at once; one that is not
-/// responding must not keep clients waiting.
+/// The longest time that the node waits for the first endpoint list before it accepts connections. A
+/// discovery agent that is up answers immediately; one that does not respond must not keep clients waiting.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(250);
-/// Pause after accepting a connection failed.
+/// The pause after a failure to accept a connection.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
 /// The downstream side of a node.
@@ -32,21 +32,24 @@
     handler: Rc<RequestHandler>,
     budget: Rc<DescriptorBudget>,
     registry: Rc<ConnectionRegistry>,
-    /// Each change makes the connections open by then close as soon as they are idle.
+    /// A version number. Each change makes the connections that are open at that time close as soon as they
+    /// are idle.
     close_idle_connections: watch::Sender<u32>,
-    /// Whether connections accepted from now on close after their first response.
+    /// Whether the listener is closing. Connections accepted while it is set close after their first
+    /// response.
     listener_closed: Cell<bool>,
+    /// Notified when the listener has to close.
     stop_accepting: Notify,
 }
 
-/// A connection that was accepted, with its place in the descriptor budget.
+/// A connection that was accepted, with its permit of the descriptor budget.
 struct Accepted {
     stream: TcpStream,
     permit: DescriptorPermit,
 }
 
 impl DownstreamServer {
-    /// The downstream side of the node with this event loop.
+    /// Creates the downstream side of the node that `event_loop` belongs to.
     pub fn new(event_loop: Rc<EventLoop>, rules: RequestRules, budget: Rc<DescriptorBudget>) -> Rc<Self> {
         let handler = Rc::new(RequestHandler::new(event_loop.clone(), rules));
         Rc::new(DownstreamServer {
@@ -60,22 +63,23 @@
         })
     }
 
-    /// Closes all open connections as soon as they are idle.
+    /// Makes each connection that is open now close as soon as it is idle.
     pub fn close_idle_connections(&self) {
         self.close_idle_connections.send_modify(|version| *version += 1);
     }
 
-    /// Closes the listener, once the connections in its backlog are accepted.
+    /// Makes the listener close after the connections in its backlog have been accepted.
     pub fn close_listener(&self) {
         self.listener_closed.set(true);
         self.stop_accepting.notify_one();
     }
 
-    /// Accepts connections until the listener closes.
+    /// Accepts connections until `close_listener` is called, then those in the backlog.
     ///
-    /// Waits for `first_list` before the first connection, but no longer than `FIRST_LIST_TIMEOUT`: a change that the
-    /// agent holds counts against the node from its start on, and the list in its configuration may be out of date.
-    /// With no descriptor left it closes idle connections; meanwhile new ones wait in the backlog.
+    /// Before it accepts the first connection, it waits for `first_list`, for `FIRST_LIST_TIMEOUT` at most: a
+    /// change that the discovery agent already holds applies to the node from its start on, and the endpoint
+    /// list in the node's configuration may be out of date. If no descriptor is left, idle connections are
+    /// closed, and new ones wait in the backlog meanwhile.
     pub async fn accept(self: Rc<Self>, listener: TcpListener, first_list: impl Future<Output = ()>) {
         let _ = timeout(FIRST_LIST_TIMEOUT, first_list).await;
         loop {
@@ -95,12 +99,16 @@
         self.accept_backlog(&listener).await;
     }
 
+    /// Accepts one connection, after it has acquired a permit for it.
     async fn accept_one(&self, listener: &TcpListener) -> io::Result<Accepted> {
         let permit = self.acquire_permit().await;
         let (stream, _) = listener.accept().await?;
         Ok(Accepted { stream, permit })
     }
 
+    /// Waits for a permit for a client connection, and has connections closed until there is one. If all
+    /// permits are in use, the oldest idle endpoint connection is closed; if there is none, or if only the
+    /// clients' share is in use, a client connection is asked to close.
     async fn acquire_permit(&self) -> DescriptorPermit {
         let close_one = || {
             let upstream_closed = self.budget.is_exhausted() && self.event_loop.upstreams.close_oldest_idle();
@@ -109,10 +117,10 @@
         self.budget.acquire_or_evict(|| self.budget.try_acquire_downstream(), close_one).await
     }
 
-    /// Accepts the connections in the backlog, beyond the descriptor budget. Their clients have connected and may have
-    /// sent a request; closing the listener over them would reset them.
+    /// Accepts the connections in the backlog, even beyond the descriptor budget. Their clients have
+    /// connected and may have sent a request, and closing the listener first would reset them.
     async fn accept_backlog(self: &Rc<Self>, listener: &TcpListener) {
-        // Lets the runtime learn of the connections that have arrived.
+        // The runtime learns of the connections that have arrived when the task yields to it.
         tokio::task::yield_now().await;
         loop {
             match poll_fn(|context| Poll::Ready(listener.poll_accept(context))).await {
--- a/src/net/downstream/mod.rs
+++ b/src/net/downstream/mod.rs
@@ -1,7 +1,7 @@
-//! The downstream side: the listener, the connections of clients, the validation of their requests, and the responses.
+//! The downstream side of a node: the listener, client connections, request validation, and responses.
 //!
-//! `listener` accepts connections, `connection` serves each of them, `handler` answers one request. Reading order:
-//! listener, connection, handler; the other modules serve them.
+//! `listener` accepts connections, `connection` serves one connection, and `handler` answers one request.
+//! They are best read in this order; the other modules support them.
 
 pub mod connection_state;
 pub mod pipeline;
--- a/src/net/downstream/request.rs
+++ b/src/net/downstream/request.rs
@@ -1,4 +1,5 @@
-//! What a request must hold: one rule a function. A request that breaks one never reaches the decisions.
+//! Validates client requests, with one function for each rule. A request that violates a rule is not handed
+//! to the decision engine.
 
 use std::str::FromStr;
 
@@ -11,17 +12,17 @@
 use crate::protocol::headers;
 use crate::protocol::settings::{ClassDocument, SettingsDocument};
 
-/// Most bytes of a request id.
+/// The largest length of a request id in bytes.
 const MAX_REQUEST_ID_BYTES: usize = 128;
-/// The longest time that a client may say it waits, in milliseconds.
+/// The longest deadline that a client may give, in milliseconds from now.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
-/// Account ids are below this.
+/// The exclusive upper bound of account ids.
 const ACCOUNT_ID_LIMIT: u64 = 1 << 33;
-/// Hexadecimal digits of an account id.
+/// The number of hexadecimal digits of an account id.
 const ACCOUNT_ID_DIGITS: usize = 16;
-/// The parameter of the query that names the account.
+/// The query parameter that names the account.
 const ACCOUNT_PARAMETER: &str = "key=";
-/// The headers that may come once at most.
+/// The headers that a request must not repeat.
 const SINGLE_HEADERS: [HeaderName; 7] = [
     headers::REQUEST_ID,
     headers::REQUEST_CLASS,
@@ -32,67 +33,68 @@
     headers::IDEMPOTENCY_KEY,
 ];
 
-/// Why a request is not handed to the decisions. The text is the body of the response.
+/// The reason why a request is not handed to the decision engine. Its text is the body of the response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// The path is for reading only.
+    /// The path accepts only `GET`, and the request has another method.
     #[error("GET alone is served here")]
     MethodNotAllowed,
-    /// Where the body ends is unknown.
+    /// The headers do not determine unambiguously where the body ends.
     #[error("a body has a length or comes in chunks, not both and in no other encoding")]
     AmbiguousFraming,
-    /// A header that may come once comes twice.
+    /// A header that must not be repeated is repeated.
     #[error("a header comes twice")]
     RepeatedHeader,
-    /// The request's id is missing, empty or too long.
+    /// The request id is missing, empty or longer than `MAX_REQUEST_ID_BYTES`.
     #[error("no id")]
     NoRequestId,
-    /// The class is missing.
+    /// The header with the request class is missing.
     #[error("no class")]
     NoClass,
-    /// The settings have no class of this name.
+    /// The settings have no request class of the given name.
     #[error("no such class")]
     UnknownClass,
-    /// The path begins with the name of another class.
+    /// The first segment of the path is not the name of the request class.
     #[error("the path is not the class's")]
     PathMismatch,
-    /// Method and idempotency key do not fit the class.
+    /// The method, or the presence of an idempotency key, does not match the idempotency of the request
+    /// class.
     #[error("method and key are not the class's")]
     MethodMismatch,
     /// The plan is missing or unknown.
     #[error("no such plan")]
     UnknownPlan,
-    /// The account is missing, malformed or named twice.
+    /// The account is missing, malformed, out of range or named twice.
     #[error("no key of 16 hex digits")]
     NoAccount,
-    /// The deadline is missing, malformed or too far off.
+    /// The deadline is missing, malformed or longer than `MAX_DEADLINE_MS`.
     #[error("no deadline in milliseconds")]
     NoDeadline,
-    /// The weight is missing, malformed or out of range.
+    /// The weight header is missing or malformed, or a value in it is out of range.
     #[error("no weight")]
     NoWeight,
     /// A `GET` has a body.
     #[error("a GET has no body")]
     BodyOfGet,
-    /// The body is longer than allowed.
+    /// The body is longer than 64 KiB.
     #[error("the body is longer than 64 KiB")]
     BodyTooLong,
-    /// The body can't be read to its end.
+    /// The body ends early or is malformed, so it can't be read in full.
     #[error("the body is not whole")]
     BodyIncomplete,
     /// The body did not arrive in time.
     #[error("the body came too late")]
     BodyTimeout,
-    /// A target in absolute form has no path.
+    /// The request target is in absolute form and has no path.
     #[error("no path")]
     NoPath,
-    /// A request with the same id is in progress.
+    /// Another request with the same id is still open.
     #[error("id in use")]
     IdInUse,
 }
 
 impl RequestError {
-    /// The status of the response.
+    /// Returns the status of the response to the invalid request.
     pub fn status(self) -> StatusCode {
         match self {
             RequestError::MethodNotAllowed => StatusCode::METHOD_NOT_ALLOWED,
@@ -117,30 +119,38 @@
     }
 }
 
-/// What the settings say of requests.
+/// The rules for valid requests that follow from the settings.
 pub struct RequestRules {
     classes: Vec<ClassRule>,
+    /// The names of the plans, by plan index.
     plans: Vec<String>,
+    /// The number of nodes; at least 1.
     node_count: u32,
+    /// The largest number of units of one request.
     max_request_units: f64,
 }
 
-/// The form of requests of one class.
+/// The rules for requests of one class.
 struct ClassRule {
+    /// The name of the class, which is also the first segment of the path.
     name: String,
+    /// Determines the method, and whether an idempotency key is required or forbidden.
     idempotency: Idempotency,
 }
 
-/// The request's class: its index in the settings, and its rule.
+/// The class of a request: its index in the settings and its rule.
 struct ClassMatch<'a> {
     index: usize,
     rule: &'a ClassRule,
 }
 
-/// What the weight header ([`headers::WEIGHT`]) holds.
+/// The content of the weight header ([`headers::WEIGHT`]).
 struct UnitsAndAccountNodes {
+    /// How many units of the quota the request uses.
     units: f64,
+    /// The number of nodes that get the account's requests.
     account_node_count: u32,
+    /// The index of the first of these nodes.
     first_account_node: u32,
 }
 
@@ -151,7 +161,7 @@
 }
 
 impl RequestRules {
-    /// The rules that follow from these settings.
+    /// Derives the rules from the settings. A `max_request_units` of 0 or less means no limit.
     pub fn new(settings: &SettingsDocument) -> Self {
         let max_request_units = settings.accounting.max_request_units;
         RequestRules {
@@ -162,10 +172,11 @@
         }
     }
 
-    /// Reads what the decisions have to know of a request that was received at `received_at`.
+    /// Validates the head of a request received at `received_at` (Unix time in microseconds), and returns the
+    /// data that the decision engine needs.
     ///
     /// # Errors
-    /// The first rule that the request breaks.
+    /// Returns the error of the first rule that the request violates.
     pub fn validate(&self, head: &Parts, received_at: Micros) -> Result<NewRequest, RequestError> {
         reject_repeated_headers(&head.headers)?;
         let id = request_id(&head.headers)?;
@@ -231,7 +242,7 @@
         .ok_or(RequestError::NoRequestId)
 }
 
-/// The first segment of the path has to be the name of the class.
+/// Requires that the first segment of the path is the name of the class.
 fn require_path_of_class(path: &str, class: &ClassRule) -> Result<(), RequestError> {
     if path.split('/').nth(1) != Some(&class.name) {
         return Err(RequestError::PathMismatch);
@@ -239,7 +250,8 @@
     Ok(())
 }
 
-/// The method, and whether there is an idempotency key, have to fit what the class says of repeats.
+/// Requires the method that matches the idempotency of the class, and that an idempotency key is present if
+/// the class is keyed and absent if it is non-idempotent.
 fn require_method_of_class(
     method: &Method,
     headers: &HeaderMap,
@@ -257,7 +269,7 @@
     Ok(())
 }
 
-/// The account that the query names, once.
+/// Returns the account that the query names. The query has to name exactly one.
 fn account(query: Option<&str>) -> Result<AccountId, RequestError> {
     let parameters = query.unwrap_or_default().split('&');
     let mut accounts = parameters.filter_map(|parameter| parameter.strip_prefix(ACCOUNT_PARAMETER));
@@ -273,6 +285,7 @@
     Ok(AccountId(id))
 }
 
+/// Returns the client's deadline in milliseconds from the receipt of the request.
 fn deadline_ms(headers: &HeaderMap) -> Result<u64, RequestError> {
     header_text(headers, &headers::DEADLINE)
         .and_then(parse_digits)
@@ -280,7 +293,8 @@
         .ok_or(RequestError::NoDeadline)
 }
 
-/// Reads `units=1.5,spread=2,first=0`, in any order. Unknown parts are ignored; one that comes twice says nothing.
+/// Parses a weight such as `units=1.5,spread=2,first=0`, with its parts in any order. Parts with an unknown
+/// name are ignored. Returns `None` if a part is malformed, missing or repeated.
 fn parse_weight(text: &str) -> Option<UnitsAndAccountNodes> {
     let mut units = None;
     let mut account_node_count = None;
@@ -304,11 +318,13 @@
     })
 }
 
+/// Returns the value of a header. Returns `None` if the header is missing or not visible ASCII.
 fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// A number written in digits alone.
+/// Parses a number that consists of digits only. Returns `None` for any other text and for a number out of
+/// range.
 fn parse_digits<T: FromStr>(text: &str) -> Option<T> {
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return None;
@@ -316,7 +332,7 @@
     text.parse().ok()
 }
 
-/// A number in decimal notation, with no sign or exponent.
+/// Parses a number in decimal notation without sign and exponent. Returns `None` for any other text.
 fn parse_decimal(text: &str) -> Option<f64> {
     if !text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.') {
         return None;
--- a/src/net/downstream/request_bytes_stream.rs
+++ b/src/net/downstream/request_bytes_stream.rs
@@ -1,4 +1,4 @@
-//! A client's socket that notes the bytes read from it in the state of its connection.
+//! A stream over a client's socket that records the bytes read in the state of the connection.
 
 use std::io;
 use std::net::Shutdown;
@@ -12,11 +12,12 @@
 
 use crate::net::downstream::connection_state::ConnectionState;
 
-/// A client's socket that notes the bytes read from it. The task that serves the connection shares the socket.
+/// A stream over a client's socket that records each read in the state of the connection. The socket is
+/// shared with the task that serves the connection.
 pub struct RequestBytesStream {
     /// The socket.
     pub stream: Rc<TcpStream>,
-    /// The state of its connection.
+    /// The state of the connection, which is told of all bytes read.
     pub state: Rc<ConnectionState>,
 }
 
@@ -41,7 +42,7 @@
 }
 
 impl RequestBytesStream {
-    /// Writes by `write` as soon as the socket accepts bytes.
+    /// Waits until the socket is writable and calls `write`. Repeats both if `write` returns `WouldBlock`.
     fn poll_write_by(
         &self,
         context: &mut Context<'_>,
--- a/src/net/downstream/response.rs
+++ b/src/net/downstream/response.rs
@@ -1,4 +1,4 @@
-//! The form of each final response on the wire: status, headers and body.
+//! Converts final responses to HTTP: status, headers and body.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -9,20 +9,21 @@
 use crate::net::downstream::request::RequestError;
 use crate::net::event_loop::FinalResponse;
 
-/// What a client gets in response to a request.
+/// The response to a client's request.
 pub enum ClientResponse {
     /// The body of an endpoint's response, with status 200.
     Served(Bytes),
-    /// Rejected; a retry by the client is harmless.
+    /// The request was rejected, and the client can retry it safely. The status is 429 if `retry_after` is
+    /// set, else 503.
     Rejected {
-        /// When the client should come back, from now; 0 means no advice.
+        /// How long the client should wait before it retries, in microseconds; 0 means no advice.
         retry_after: Micros,
     },
-    /// Failed: the request may have run.
+    /// The request failed, but an attempt may have run. The status is 502.
     Failed,
-    /// No final response in time.
+    /// There was no final response in time. The status is 504.
     TimedOut,
-    /// The request itself is not acceptable.
+    /// The request is invalid and was not handed to the decision engine.
     Invalid(RequestError),
 }
 
@@ -37,8 +38,10 @@
 }
 
 impl ClientResponse {
-    /// Whether the connection must close after it: behind a request that can't be trusted may be another that its
-    /// sender hid there.
+    /// Returns whether the connection must close after the response.
+    ///
+    /// It closes after an invalid request, because the bytes after it may be another request that its sender
+    /// has hidden there. A duplicate id does not close the connection, since the request is otherwise valid.
     pub fn closes_connection(&self) -> bool {
         match self {
             ClientResponse::Invalid(error) => *error != RequestError::IdInUse,
@@ -49,7 +52,7 @@
         }
     }
 
-    /// The response as it is sent to the client.
+    /// Converts the response to the HTTP response that is sent to the client.
     pub fn into_http(self) -> Response<Full<Bytes>> {
         match self {
             ClientResponse::Served(body) => with_status(StatusCode::OK, body),
@@ -64,7 +67,7 @@
     }
 }
 
-/// Marks the connection to close after this response.
+/// Adds the header `Connection: close`, after which hyper closes the connection.
 pub fn close_connection(response: &mut Response<Full<Bytes>>) {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
@@ -75,7 +78,8 @@
     response
 }
 
-/// A rejection with a `Retry-After` time in seconds, rounded up to the millisecond.
+/// Returns a response with status 429 and a `Retry-After` header: `retry_after`, which is in microseconds, in
+/// seconds rounded up to the millisecond.
 fn too_many_requests(retry_after: Micros) -> Response<Full<Bytes>> {
     let mut response = with_status(StatusCode::TOO_MANY_REQUESTS, Bytes::new());
     let milliseconds = retry_after.div_ceil(1000);
--- a/src/net/downstream/socket.rs
+++ b/src/net/downstream/socket.rs
@@ -1,4 +1,4 @@
-//! What is asked of a client's socket beside reading and writing.
+//! Operations on a client's socket other than reading and writing requests and responses.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -9,24 +9,29 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// How often it is checked whether a client that has sent more than the request in progress has disconnected. An
-/// attempt for a client that has may not begin 0.1 s later.
+/// The interval at which the node checks whether a client has disconnected that has sent bytes after the
+/// request in progress. No attempt may start later than 0.1 s after its client has disconnected.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// For how long, and how many bytes, are read behind the last response.
+/// How long the node reads and discards bytes after the last response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
+/// How many bytes the node reads and discards after the last response, at most.
 const LINGER_BYTES: usize = 256 * 1024;
 
-/// Makes the runtime ask the socket for its state before it says anything of it.
+/// Clears the readiness that the runtime assumes for a new connection, so that it asks the kernel for the
+/// state of the socket.
 ///
-/// It assumes that a new connection is readable and its read side open. The client may have disconnected while the
-/// connection was in the backlog, and that would stay hidden behind the bytes that it sent before.
+/// The runtime assumes that a new connection is readable and that the client has not closed it. But the
+/// client may have disconnected while the connection was in the backlog, and this would not be detected
+/// behind the bytes it sent before.
 pub fn clear_assumed_readiness(stream: &TcpStream) {
     let not_ready = || Err::<(), _>(io::Error::from(io::ErrorKind::WouldBlock));
     let _ = stream.try_io(Interest::READABLE, not_ready);
 }
 
-/// Returns once the client has closed its side. A read would not notice: bytes behind the request in progress are not
-/// read before its response, and they hide the close.
+/// Waits until the client has closed its side of the connection.
+///
+/// Reading from the socket would not detect this: bytes after the request in progress are not read before its
+/// response, and the end of the stream comes after them.
 pub async fn peer_closed(stream: &TcpStream) {
     loop {
         match stream.ready(Interest::READABLE).await {
@@ -36,14 +41,16 @@
     }
 }
 
-/// Whether the socket holds unread bytes. Asked of the kernel, since the runtime may not have learned of them.
+/// Returns whether the socket holds unread bytes. It asks the kernel, since the runtime may not know of them
+/// yet.
 pub fn has_unread_bytes(stream: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     SockRef::from(stream).peek(&mut byte).is_ok_and(|count| count > 0)
 }
 
-/// Reads what is unread in the socket before it closes, up to a bound. A socket closed over unread bytes is reset, and
-/// a last response that is still on its way is lost with it.
+/// Reads and discards the unread bytes of a socket that is about to be closed, for `LINGER_TIMEOUT` and
+/// `LINGER_BYTES` at most. The kernel resets a connection that is closed with unread bytes, and the last
+/// response is lost if it is still being transmitted.
 pub async fn linger(stream: &TcpStream) {
     if has_unread_bytes(stream) {
         let _ = timeout(LINGER_TIMEOUT, discard_unread(stream)).await;
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop: the one place where events enter the decisions and actions leave them. It owns the decisions and
-//! the open requests.
+//! The event loop, which passes events to the decision engine and carries out the actions that it returns. It
+//! owns the decision engine and the open requests, and nothing else calls the engine.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -17,38 +17,45 @@
 use crate::net::counter::CounterClient;
 use crate::net::discovery::Discovery;
 use crate::net::event_sink::EventSink;
-use crate::net::open_requests::{Attempt, OpenRequest, OpenRequests};
+use crate::net::open_requests::{AttemptRecord, OpenRequest, OpenRequests};
 use crate::net::upstream::{AttemptOutcome, ForwardedRequest, Upstreams};
 
 pub use crate::net::open_requests::{DuplicateRequestId, FinalResponse};
 
-/// A request without a final response this long before the client stops waiting is answered 504. This is less than
-/// `ATTEMPT_MARGIN` of the open requests: attempts end first, so a request that hangs at an endpoint is answered 502
-/// or 503 before, and 504 is left for one that still waits for something else, such as the counter.
+/// How long before its deadline a request without a final response is answered with 504, in microseconds.
+///
+/// This is less than `ATTEMPT_MARGIN` of the open requests, so attempts end first. A request whose endpoint
+/// does not respond is answered with 502 or 503 by then, and only one that still waits for something else,
+/// such as the counter service, is answered with 504.
 const RESPONSE_MARGIN: Micros = 15_000;
 
-/// One edge node's event loop.
+/// The event loop of one edge node.
 pub struct EventLoop {
-    /// Itself, for the tasks that it starts.
-    own: Weak<EventLoop>,
-    /// The node's clock.
+    /// A weak reference to the event loop itself, from which the tasks that it starts get theirs.
+    weak_self: Weak<EventLoop>,
+    /// The clock of the node, from which all events get their time.
     pub clock: Clock,
-    /// The endpoints.
+    /// The connections to endpoints, over which attempts and probes are sent.
     pub upstreams: Rc<Upstreams>,
     counter: Rc<CounterClient>,
     discovery: Rc<Discovery>,
+    /// The largest number of attempts of one request.
     max_attempts: usize,
     engine: RefCell<DecisionEngine>,
     open_requests: RefCell<OpenRequests>,
+    /// The events that the engine has not handled yet, in the order in which they were sent.
     pending_events: RefCell<VecDeque<Event>>,
+    /// Whether a call of `send` is handling the pending events.
     handling_events: Cell<bool>,
+    /// Whether a graceful shutdown has begun.
     shutting_down: Cell<bool>,
-    /// The shutdown has failed what was open: no attempt is started any more.
+    /// Whether the shutdown has failed the open requests. New requests fail immediately from then on.
     requests_closed: Cell<bool>,
 }
 
 impl EventLoop {
-    /// An event loop without open requests. A request gets at most `max_attempts`, and at least one.
+    /// Creates an event loop without open requests. Each request gets at most `max_attempts` attempts; 0
+    /// counts as 1.
     pub fn new(
         engine: DecisionEngine,
         max_attempts: u32,
@@ -56,8 +63,8 @@
         counter: Rc<CounterClient>,
         discovery: Rc<Discovery>,
     ) -> Rc<Self> {
-        Rc::new_cyclic(|own| EventLoop {
-            own: own.clone(),
+        Rc::new_cyclic(|weak_self| EventLoop {
+            weak_self: weak_self.clone(),
             clock: Clock::start(),
             upstreams,
             counter,
@@ -72,22 +79,23 @@
         })
     }
 
-    /// Whether a graceful shutdown has begun.
+    /// Returns whether a graceful shutdown has begun.
     pub fn is_shutting_down(&self) -> bool {
         self.shutting_down.get()
     }
 
-    /// Begins a graceful shutdown.
+    /// Records that a graceful shutdown has begun. From then on each response closes its client connection.
     pub fn start_shutdown(&self) {
         self.shutting_down.set(true);
     }
 
-    /// Whether a client still waits for its final response.
+    /// Returns whether a client still waits for the final response to its request.
     pub fn has_waiting_clients(&self) -> bool {
         self.open_requests.borrow().has_waiting_clients()
     }
 
-    /// Fails all open requests, and from now on each new one. For the end of a shutdown.
+    /// Fails all open requests now and all new requests from now on. Called at the end of a graceful
+    /// shutdown.
     pub fn fail_open_requests(&self) {
         self.requests_closed.set(true);
         let ids = self.open_requests.borrow().ids();
@@ -100,18 +108,18 @@
         }
     }
 
-    /// Submits a request; its final response comes through the receiver.
+    /// Submits a request to the decision engine, and returns the receiver of its final response.
     ///
     /// # Errors
-    /// If a request with this id is still open.
+    /// Returns [`DuplicateRequestId`] if a request with the same id is still open.
     pub fn submit(
         &self,
         request: NewRequest,
         forwarded: ForwardedRequest,
     ) -> Result<oneshot::Receiver<FinalResponse>, DuplicateRequestId> {
         let (mut open_request, receiver) = OpenRequest::new(forwarded, request.deadline);
-        // A body may end after the shutdown has failed what was open. An attempt started then would be lost with
-        // the process.
+        // A request's body may be complete only after the shutdown has failed the open requests. An attempt
+        // started then would be lost when the process exits.
         if self.requests_closed.get() {
             open_request.respond(FinalResponse::Failed);
             return Ok(receiver);
@@ -121,13 +129,13 @@
         Ok(receiver)
     }
 
-    /// When a request with this deadline has to have its final response.
+    /// Returns when a request with this deadline is answered with 504 if it has no final response.
     pub fn final_response_by(&self, deadline: Micros) -> Instant {
         self.clock.instant(deadline.saturating_sub(RESPONSE_MARGIN))
     }
 
-    /// Nobody waits for this request any more: its client has disconnected or its deadline has
-    /// passed.
+    /// Records that no client waits for this request any more, because it has disconnected or the deadline
+    /// has passed. Does nothing if the request already has its final response.
     pub fn client_disconnected(&self, id: &RequestId) {
         let responder = self.open_requests.borrow_mut().take_responder(id);
         if responder.is_some() {
@@ -135,9 +143,11 @@
         }
     }
 
-    /// Reports that nobody waits for a request, and ends its attempts that still wait for a connection or a
-    /// descriptor. They get one at any later time, also as clients leave at the end of a shutdown, and would then
-    /// send what nobody waits for.
+    /// Reports to the decision engine that no client waits for a request, and ends the attempts that still
+    /// wait for a connection or a descriptor.
+    ///
+    /// Such an attempt could get a descriptor at any later time, for example when clients disconnect at the
+    /// end of a shutdown, and would then send a request that no client waits for.
     fn abandon(&self, id: &RequestId) {
         self.send(Event::ClientDisconnected { request: id.clone() });
         let unsent = self.open_requests.borrow().unsent_attempts(id);
@@ -146,11 +156,12 @@
         }
     }
 
-    /// The shared handle of this event loop. It is only ever created behind one.
-    fn own(&self) -> Rc<Self> {
-        self.own.upgrade().expect("an event loop in use is held by its handle")
+    /// Returns a shared reference to this event loop, which always exists since `new` returns an `Rc`.
+    fn shared_self(&self) -> Rc<Self> {
+        self.weak_self.upgrade().expect("an event loop in use is held by an `Rc`")
     }
 
+    /// Carries out an action of the decision engine.
     fn perform(&self, action: Action) {
         match action {
             Action::StartAttempt { request, endpoint, timeout } => {
@@ -168,29 +179,31 @@
                 self.counter.increment(self, key, amount, keep_for);
             }
             Action::SetTimer { id, after } => self.set_timer(id, after),
-            Action::FetchEndpoints => self.discovery.fetch(self.own()),
-            // The list is watched from the start on.
+            Action::FetchEndpoints => self.discovery.fetch(self.shared_self()),
+            // Discovery watches the endpoint list from the start of the node on.
             Action::WatchEndpoints => {}
         }
     }
 
+    /// Probes an endpoint and reports the outcome to the decision engine.
     fn probe(&self, endpoint: EndpointId) {
-        let event_loop = self.own();
+        let event_loop = self.shared_self();
         spawn_local(async move {
             let outcome = event_loop.upstreams.probe(endpoint).await;
             event_loop.send(Event::ProbeCompleted { endpoint, outcome });
         });
     }
 
+    /// Reports to the decision engine that a timer has fired, `after` microseconds from now.
     fn set_timer(&self, id: u64, after: Micros) {
-        let event_loop = self.own();
+        let event_loop = self.shared_self();
         spawn_local(async move {
             sleep(Duration::from_micros(after)).await;
             event_loop.send(Event::TimerFired { id });
         });
     }
 
-    /// Gives the final response to a request.
+    /// Sends the final response to a request, unless the request is completed.
     fn complete(&self, id: &RequestId, response: FinalResponse) {
         let mut open_requests = self.open_requests.borrow_mut();
         if let Some(request) = open_requests.get_mut(id) {
@@ -199,7 +212,9 @@
         open_requests.remove_if_settled(id);
     }
 
-    /// Sends a request to an endpoint, unless it is completed, has no attempt left or no time.
+    /// Starts an attempt of a request at an endpoint, which ends after `timeout` microseconds (0 means no
+    /// timeout of its own). If the request is completed, has no attempts left or no time left, the attempt is
+    /// reported as not sent.
     fn start_attempt(&self, id: RequestId, endpoint: EndpointId, timeout: Micros) {
         let now = self.clock.now();
         let mut open_requests = self.open_requests.borrow_mut();
@@ -219,11 +234,16 @@
                 ends_at,
                 maybe_written: maybe_written.clone(),
             };
-            let task = spawn_local(sending.run(self.own())).abort_handle();
-            request.attempts.push(Attempt { endpoint, started_at: now, task: Some(task), maybe_written });
+            let task = spawn_local(sending.run(self.shared_self())).abort_handle();
+            request.attempts.push(AttemptRecord {
+                endpoint,
+                started_at: now,
+                task: Some(task),
+                maybe_written,
+            });
             return;
         }
-        request.attempts.push(Attempt::not_sent(endpoint, now));
+        request.attempts.push(AttemptRecord::not_sent(endpoint, now));
         let request_completed = request.is_completed();
         drop(open_requests);
         self.send(Event::AttemptEnded(EndedAttempt {
@@ -237,12 +257,13 @@
         }));
     }
 
-    /// Ends an attempt before its endpoint has responded.
+    /// Ends an attempt whose endpoint has not responded.
     fn end_attempt(&self, id: &RequestId, attempt_number: usize, outcome: Outcome) {
         self.finish_attempt(id, attempt_number, AttemptOutcome { outcome, body: None });
     }
 
-    /// Reports the end of an attempt; a second end of the same one is dropped. With a body, the request is served.
+    /// Reports the end of an attempt to the decision engine, and responds to the request if the attempt has
+    /// returned a body. Does nothing if the attempt has already ended.
     fn finish_attempt(&self, id: &RequestId, attempt_number: usize, result: AttemptOutcome) {
         let AttemptOutcome { outcome, body } = result;
         let mut open_requests = self.open_requests.borrow_mut();
@@ -250,7 +271,7 @@
         let Some(attempt) = request.attempts.get_mut(attempt_number) else { return };
         let Some(task) = attempt.task.take() else { return };
         if matches!(outcome, Outcome::Cancelled | Outcome::NotSent) {
-            // Closes the connection too: that is how an endpoint learns of it.
+            // This also closes the connection, from which the endpoint learns that the attempt was cancelled.
             task.abort();
         }
         let endpoint = attempt.endpoint;
@@ -273,8 +294,8 @@
 }
 
 impl EventSink for EventLoop {
-    /// Actions may cause events at once. These wait until the actions of the earlier event are all carried out, or
-    /// the decisions would be entered twice.
+    /// Carrying out an action may send further events. They wait until all actions of the earlier event have
+    /// been carried out, since the decision engine must not be called recursively.
     fn send(&self, event: Event) {
         self.pending_events.borrow_mut().push_back(event);
         if self.handling_events.replace(true) {
@@ -296,17 +317,20 @@
     }
 }
 
-/// An attempt that is about to be sent.
+/// An attempt whose task is about to start.
 struct SendingAttempt {
     request: RequestId,
     attempt_number: usize,
     endpoint: EndpointId,
     forwarded: Rc<ForwardedRequest>,
+    /// When the attempt is ended if it has not ended before, in microseconds of Unix time.
     ends_at: Micros,
+    /// Set once any byte of the request may have been written to the endpoint.
     maybe_written: Rc<Cell<bool>>,
 }
 
 impl SendingAttempt {
+    /// Sends the request to the endpoint and reports how the attempt has ended.
     async fn run(self, event_loop: Rc<EventLoop>) {
         let upstreams = &event_loop.upstreams;
         let clock = &event_loop.clock;
@@ -317,7 +341,8 @@
     }
 }
 
-/// The request that may be settled once this event is handled.
+/// Returns the request that may be removed from the open requests after this event was handled, if there is
+/// one.
 fn request_ended_by(event: &Event) -> Option<RequestId> {
     match event {
         Event::AttemptEnded(ended) => Some(ended.request.clone()),
--- a/src/net/event_sink.rs
+++ b/src/net/event_sink.rs
@@ -1,13 +1,14 @@
-//! The narrow way in which parts of the network report events to the event loop.
+//! The trait through which the counter client and discovery report events to the event loop.
 
 use crate::decision::Event;
 
-/// Receives events for the decisions.
+/// Receives events for the decision engine.
 ///
-/// The counter client and discovery report through this trait, so that neither depends on the event loop that owns
-/// them. The upstreams don't need it: the event loop awaits their results.
+/// The counter client and discovery use this trait so that they don't depend on the event loop, which owns
+/// them. The upstreams don't need it, because the event loop awaits their results.
 pub trait EventSink {
-    /// Hands an event to the decisions and carries out their actions before it returns, unless it is called while
-    /// the actions of an earlier event are carried out: then the event waits for its turn.
+    /// Passes an event to the decision engine and carries out the resulting actions before it returns. If it
+    /// is called while the actions of an earlier event are being carried out, it queues the event and
+    /// returns.
     fn send(&self, event: Event);
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,8 +1,10 @@
-//! The sockets around the decisions: one folder for each kind of peer, and the event loop that joins them.
+//! The network side of a node: one module for each kind of peer, and the event loop that connects them to the
+//! decision engine.
 //!
-//! Imports run one way: `downstream` uses the event loop; the event loop uses `upstream`, `counter` and `discovery`.
-//! The event loop awaits the attempts and probes that it starts at `upstream`; `counter` and `discovery` report to it
-//! through [`event_sink::EventSink`]. `upstream` implements the directory that `discovery` writes its lists to.
+//! Dependencies go in one direction: `downstream` uses the event loop, and the event loop uses `upstream`,
+//! `counter` and `discovery`. The event loop awaits the results of the attempts and probes that it starts in
+//! `upstream`; `counter` and `discovery` report to it through [`event_sink::EventSink`]. `upstream`
+//! implements the directory to which `discovery` writes the endpoint lists.
 
 pub mod clock;
 pub mod counter;
--- a/src/net/open_requests.rs
+++ b/src/net/open_requests.rs
@@ -1,4 +1,4 @@
-//! The requests that wait for their final response or have an attempt in flight.
+//! The open requests of a node: those that wait for their final response or have an attempt in flight.
 
 use std::cell::Cell;
 use std::collections::btree_map::Entry;
@@ -12,47 +12,51 @@
 use crate::decision::{EndpointId, Micros, RequestId};
 use crate::net::upstream::ForwardedRequest;
 
-/// Attempts are cancelled this long before the client stops waiting, so that the final response still reaches it.
-/// This is more than the event loop's `RESPONSE_MARGIN`: an attempt ends first, so a request that hangs at an endpoint
-/// is answered 502 or 503, and 504 is left for one that still waits for something else, such as the counter.
+/// How long before the request's deadline its attempts are cancelled, in microseconds. The final response
+/// needs this time to reach the client.
+///
+/// This is more than the event loop's `RESPONSE_MARGIN`, so attempts end first. A request whose endpoint does
+/// not respond is answered with 502 or 503, and only one that still waits for something else, such as the
+/// counter service, is answered with 504.
 const ATTEMPT_MARGIN: Micros = 25_000;
 
-/// The one final response to a request.
+/// The final response to a request.
 pub enum FinalResponse {
     /// The body of an endpoint's response.
     Served(Bytes),
-    /// Rejected; a retry by the client is harmless.
+    /// The request was rejected, and the client can retry it safely.
     Rejected {
-        /// When the client should come back, from now; 0 means no advice.
+        /// How long the client should wait before it retries, in microseconds; 0 means no advice.
         retry_after: Micros,
     },
-    /// Failed; the request may have run.
+    /// The request failed, but an attempt may have run.
     Failed,
 }
 
-/// A request with the id of one that is still open.
+/// The error for a request that has the id of a request that is still open.
 #[derive(Debug, thiserror::Error)]
 #[error("a request with this id is still open")]
 pub struct DuplicateRequestId;
 
-/// One attempt of a request, in flight or ended.
-pub(super) struct Attempt {
-    /// The endpoint that it was sent to.
+/// The record of one attempt of a request, in flight or ended.
+pub(super) struct AttemptRecord {
+    /// The endpoint of the attempt.
     pub(super) endpoint: EndpointId,
-    /// When it was started.
+    /// When the attempt was started, in microseconds of Unix time.
     pub(super) started_at: Micros,
-    /// Its task; none once it has ended.
+    /// The task that carries out the attempt; `None` once the attempt has ended.
     pub(super) task: Option<AbortHandle>,
-    /// Whether any of it may have been written.
+    /// Whether any byte of the request may have been written to the endpoint.
     pub(super) maybe_written: Rc<Cell<bool>>,
 }
 
-impl Attempt {
-    /// An attempt that ended before it was sent.
+impl AttemptRecord {
+    /// Creates the record of an attempt that has ended without being sent.
     pub(super) fn not_sent(endpoint: EndpointId, now: Micros) -> Self {
-        Attempt { endpoint, started_at: now, task: None, maybe_written: Rc::default() }
+        AttemptRecord { endpoint, started_at: now, task: None, maybe_written: Rc::default() }
     }
 
+    /// Returns whether the attempt is in flight but still waits for a connection or a descriptor.
     fn is_unsent(&self) -> bool {
         self.task.is_some() && !self.maybe_written.get()
     }
@@ -60,18 +64,18 @@
 
 /// An open request.
 pub(super) struct OpenRequest {
-    /// Where the final response goes; none once it was given or the client has disconnected.
+    /// The sender of the final response; `None` once the response was sent or the client has disconnected.
     responder: Option<oneshot::Sender<FinalResponse>>,
-    /// What is sent to endpoints.
+    /// The request as it is sent to endpoints.
     pub(super) forwarded: Rc<ForwardedRequest>,
-    /// Attempts are cancelled at this time.
+    /// When attempts in flight are cancelled, in microseconds of Unix time.
     attempts_end_at: Micros,
-    /// Its attempts, by number.
-    pub(super) attempts: Vec<Attempt>,
+    /// The attempts of the request, by attempt number.
+    pub(super) attempts: Vec<AttemptRecord>,
 }
 
 impl OpenRequest {
-    /// A request without attempts, and the receiver of its final response.
+    /// Creates a request without attempts, and returns it with the receiver of its final response.
     pub(super) fn new(
         forwarded: ForwardedRequest,
         deadline: Micros,
@@ -86,17 +90,18 @@
         (request, receiver)
     }
 
-    /// Whether its final response was given or its client has disconnected.
+    /// Returns whether the final response was sent or the client has disconnected.
     pub(super) fn is_completed(&self) -> bool {
         self.responder.is_none()
     }
 
-    /// Whether one more attempt may be sent now.
+    /// Returns whether one more attempt may be started at the time `now`.
     pub(super) fn may_start_attempt(&self, now: Micros, max_attempts: usize) -> bool {
         !self.is_completed() && self.attempts.len() < max_attempts && now < self.attempts_end_at
     }
 
-    /// When an attempt ends that is started now with this time limit, in microseconds; 0 means no limit of its own.
+    /// Returns when an attempt that starts at `now` has to end, in microseconds of Unix time. `timeout` is
+    /// the limit of this attempt in microseconds; 0 means that only the request's limit applies.
     pub(super) fn attempt_ends_at(&self, now: Micros, timeout: Micros) -> Micros {
         if timeout > 0 {
             self.attempts_end_at.min(now + timeout)
@@ -105,8 +110,8 @@
         }
     }
 
-    /// Gives the final response, unless there was one. A client that has just disconnected is reported by its
-    /// connection.
+    /// Sends the final response, unless one was sent before or the client has disconnected. An error of the
+    /// send is ignored: the connection reports a client that has just disconnected.
     pub(super) fn respond(&mut self, response: FinalResponse) {
         if let Some(responder) = self.responder.take() {
             let _ = responder.send(response);
@@ -128,45 +133,47 @@
     /// Adds a request.
     ///
     /// # Errors
-    /// If one with this id is still open: entered again, a request that may not run twice would.
+    /// Returns [`DuplicateRequestId`] if a request with this id is still open. If it were added again, a
+    /// request that must not run twice could.
     pub(super) fn insert(&mut self, id: RequestId, request: OpenRequest) -> Result<(), DuplicateRequestId> {
         match self.by_id.entry(id) {
             Entry::Occupied(_) => Err(DuplicateRequestId),
-            Entry::Vacant(place) => {
-                place.insert(request);
+            Entry::Vacant(entry) => {
+                entry.insert(request);
                 Ok(())
             }
         }
     }
 
-    /// The request with this id.
+    /// Returns the request with this id. Returns `None` if no such request is open.
     pub(super) fn get_mut(&mut self, id: &RequestId) -> Option<&mut OpenRequest> {
         self.by_id.get_mut(id)
     }
 
-    /// The ids of all open requests, in order.
+    /// Returns the ids of all open requests in ascending order.
     pub(super) fn ids(&self) -> Vec<RequestId> {
         self.by_id.keys().cloned().collect()
     }
 
-    /// Whether a client still waits for its final response.
+    /// Returns whether a client still waits for the final response to its request.
     pub(super) fn has_waiting_clients(&self) -> bool {
         self.by_id.values().any(|request| !request.is_completed())
     }
 
-    /// Takes the place where the final response goes; none if it was given already.
+    /// Takes the sender of the final response out of the request, which completes the request. Returns `None`
+    /// if the request is not open or is already completed.
     pub(super) fn take_responder(&mut self, id: &RequestId) -> Option<oneshot::Sender<FinalResponse>> {
         self.by_id.get_mut(id)?.responder.take()
     }
 
-    /// The numbers of the attempts that still wait for a connection or a descriptor.
+    /// Returns the numbers of the request's attempts that still wait for a connection or a descriptor.
     pub(super) fn unsent_attempts(&self, id: &RequestId) -> Vec<usize> {
         let Some(request) = self.by_id.get(id) else { return Vec::new() };
         let attempts = request.attempts.iter().enumerate();
         attempts.filter(|(_, attempt)| attempt.is_unsent()).map(|(number, _)| number).collect()
     }
 
-    /// Removes a request that is completed and has no attempt in flight.
+    /// Removes the request if it is completed and has no attempt in flight.
     pub(super) fn remove_if_settled(&mut self, id: &RequestId) {
         let is_settled = |request: &OpenRequest| request.is_completed() && !request.has_attempt_in_flight();
         if self.by_id.get(id).is_some_and(is_settled) {
