--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -1,4 +1,8 @@
-//! Clients that disconnect while their request waits: wherever it waits, it is not sent any more.
+//! A request whose client has disconnected must not be sent to an endpoint, wherever the request was waiting
+//! at the time.
+//!
+//! The requests wait for the counter service, for a connection or a descriptor, for an endpoint, in the
+//! backlog of the listener, or for the rest of their body.
 
 mod fakes;
 
@@ -13,12 +17,16 @@
 };
 use tokio::net::TcpSocket;
 
-/// A time limit longer than any test takes.
+/// A deadline in milliseconds that is longer than any test takes.
 const UNLIMITED_MS: u64 = 600_000;
+/// A connect timeout in microseconds that is longer than any test takes.
 const UNLIMITED_CONNECT_MICROS: u64 = 60_000_000;
 
-/// A client whose request is in progress at the node. Two clients send it under one id, in no certain order; the node
-/// rejects the request that it reads second.
+/// Returns a client whose request is in progress at the node.
+///
+/// Two clients send the request under the same id, and the node rejects the one that it reads second. The
+/// rejection shows that the other one is in progress. The order in which the node reads them is not
+/// determined.
 fn client_in_progress(edge: &EdgeProcess, request: &RequestSpec) -> Client {
     let mut rejected = edge.connect();
     let mut accepted = edge.connect();
@@ -26,33 +34,37 @@
     accepted.send(request);
     let until = Instant::now() + TEST_TIMEOUT;
     while !rejected.has_response() {
-        assert!(Instant::now() < until, "neither of two requests under one id is rejected");
+        assert!(Instant::now() < until, "neither of two requests with the same id was rejected in time");
         swap(&mut rejected, &mut accepted);
     }
     assert_eq!(rejected.response().status(), 409);
     accepted
 }
 
-/// Closes the client's side and waits until the node has detected it: until it has closed its side, too.
+/// Closes the client's side of the connection and waits until the node has detected this and closed its side
+/// as well.
 fn disconnect(mut client: Client) {
     client.close_write_half();
     assert_eq!(client.read_to_end(), "");
 }
 
-/// Sends a request under the id of a client that has disconnected. The id must be free, or this request is rejected.
+/// Sends a request under the id of a request whose client has disconnected. The request is rejected if the id
+/// is still in use.
 fn send_again(edge: &EdgeProcess, request: &RequestSpec) -> Client {
     let mut client = edge.connect();
     client.send(request);
     client
 }
 
+/// Returns a request whose deadline is longer than any test takes.
 fn without_time_limit(class: &'static str, id: &str) -> RequestSpec {
     RequestSpec { deadline_ms: UNLIMITED_MS, ..request(class, id) }
 }
 
 #[test]
 fn client_disconnect_is_detected_behind_unread_bytes_of_a_further_request() {
-    // The end of its connection is behind bytes that the node does not read before the response.
+    // The node does not read the bytes after a request before its response, and the end of the stream is
+    // after them.
     for bytes_behind in [0, 30, 60_000] {
         let endpoint = FakeEndpoint::start();
         let counter = FakeCounter::start();
@@ -65,7 +77,7 @@
         disconnect(first);
         let mut second = send_again(&edge, &request);
         increment.reply_total(increment.amount);
-        // One request arrives, and it is the second client's.
+        // Only the second client's request arrives.
         endpoint.next_request().respond_ok("second");
         assert_eq!(second.response().body, b"second");
         drop(edge);
@@ -75,14 +87,15 @@
 
 #[test]
 fn request_that_waits_for_a_connection_is_not_sent_once_its_client_has_disconnected() {
-    // A connection that is established late: the kernel drops the handshakes beyond a full backlog.
-    let full_endpoint = FullEndpoint::new();
+    // The connection is established late, because the kernel drops further handshakes when the backlog is
+    // full.
+    let full_endpoint = FullBacklogEndpoint::new();
     let configuration = NodeConfiguration::new(&[active("s-1", full_endpoint.address)]);
     let edge = configuration.connect_timeout(UNLIMITED_CONNECT_MICROS).start();
     let request = without_time_limit("post", "p-1");
     disconnect(client_in_progress(&edge, &request));
     let mut second = send_again(&edge, &request);
-    // Only now is a connection established. The request on it is the second client's.
+    // The connection is established only now, and the request on it is the second client's.
     let endpoint = full_endpoint.accept_all();
     endpoint.next_request().respond_ok("second");
     assert_eq!(second.response().body, b"second");
@@ -99,14 +112,15 @@
         let endpoints = [FakeEndpoint::start(), FakeEndpoint::start()];
         let entries = [active("s-1", endpoints[0].address), active("s-2", endpoints[1].address)];
         let next_request = || next_request_at_any(&[&endpoints[0], &endpoints[1]]).request;
-        // On a busy machine the test may respond later than endpoints usually do, and a request that is safe to repeat
-        // would get a second attempt for that while its client is still connected.
+        // On a busy machine the test may respond later than endpoints usually do. With cancellation, a safe
+        // request would then get a second attempt while its client is still connected.
         let edge = NodeConfiguration::new(&entries).without_cancellation().start();
         let mut client = edge.connect();
         client.send_raw(&format!("{}{behind}", request("lookup", "first").text()));
         let first = next_request();
         disconnect(client);
-        // The request did not run, so for a connected client it would go to the other endpoint.
+        // The request did not run, so it would be sent to the other endpoint if its client were still
+        // connected.
         first.respond("503 Service Unavailable", "X-Not-Run: 1\r\n", "");
         let mut other_client = edge.connect();
         for turn in 0..4 {
@@ -129,13 +143,13 @@
     let old_endpoint = FakeEndpoint::start();
     let new_endpoint = FakeEndpoint::start();
     let discovery = FakeDiscovery::start();
-    // Descriptors for sixteen connections, nine of them for clients.
+    // These descriptors are enough for sixteen connections, nine of which may be client connections.
     let edge = NodeConfiguration::new(&[active("s-1", old_endpoint.address)])
         .discovery(discovery.address)
         .connect_timeout(UNLIMITED_CONNECT_MICROS)
         .descriptors(40)
         .start();
-    // An attempt in flight goes on without its client, and holds a descriptor.
+    // An attempt in flight continues after its client has disconnected, and holds a descriptor.
     let mut in_flight = Vec::new();
     for number in 0..13 {
         let mut client = edge.connect();
@@ -145,16 +159,21 @@
     }
     discovery.publish(active("s-2", new_endpoint.address));
     discovery.publish(endpoint_entry("s-1", old_endpoint.address, "a", "draining"));
-    // Two clients take the next two descriptors, and the listener keeps the last for the next one: both connections have
-    // arrived before the first one's request is read. Neither client is ever idle, which would free a descriptor for its
-    // attempt.
+    // Two clients take the next two descriptors, and the listener holds the last one for the next client,
+    // since both connections have arrived before the first request is read. Neither client becomes idle,
+    // since an idle connection could be closed and would free a descriptor for an attempt.
     let first_request = without_time_limit("post", "first").text();
     let second_request = without_time_limit("post", "second").text();
     let both_requests = format!("{first_request}{second_request}");
     let [first, mut second] = edge.connect_having_sent([first_request, both_requests]);
-    assert_eq!(second.response().status(), 409, "the first client's request is in progress");
+    assert_eq!(
+        second.response().status(),
+        409,
+        "expected a rejection because the first client's request with the same id is in progress"
+    );
     disconnect(first);
-    // Its descriptor is released, and the attempt queued behind its own gets it.
+    // The first client's descriptor is released, and the second request's attempt, which was queued after the
+    // first request's, gets it.
     let request = new_endpoint.next_request();
     assert_eq!(request.request_id(), "second");
     request.respond_ok("second");
@@ -165,7 +184,8 @@
 
 #[test]
 fn request_that_was_in_the_backlog_when_its_client_disconnected_is_not_sent() {
-    // Bytes behind the request hide the end of the connection from a task that waits to read it.
+    // A task that waits to read the end of the stream does not see it while unread bytes after the request
+    // precede it.
     for behind in ["", "POST /post"] {
         let endpoint = FakeEndpoint::start();
         let edge = NodeConfiguration::new(&[active("s-1", endpoint.address)])
@@ -175,10 +195,11 @@
         let texts = from_fn(|number| without_time_limit("post", &format!("p-{number}")).text());
         let mut busy_clients: [Client; 9] = edge.connect_having_sent(texts);
         let in_flight: Vec<ReceivedRequest> = (0..7).map(|_| endpoint.next_request()).collect();
-        // No descriptor is left for these two. The first disconnects before the node accepts it.
+        // No descriptor is left for these two clients. The first disconnects before the node accepts its
+        // connection.
         let mut disconnected = edge.connect();
         let mut connected = edge.connect();
-        // Without a body the request is complete as soon as its head is read.
+        // The request has no body, so it is complete as soon as its head is read.
         let disconnected_request = without_time_limit("lookup", "disconnected").text();
         disconnected.send_raw(&format!("{disconnected_request}{behind}"));
         drop(disconnected);
@@ -188,7 +209,8 @@
         for request in in_flight {
             request.respond_ok("ok");
         }
-        // Two of the nine wait for a connection, and may come before or after the connected client.
+        // Two of the nine requests wait for a descriptor for their endpoint connection. They may arrive
+        // before or after the connected client's request.
         for _ in 0..3 {
             let request = endpoint.next_request();
             assert_ne!(request.request_id(), "disconnected");
@@ -197,7 +219,7 @@
         }
         assert_eq!(connected.response().status(), 200);
         assert!(busy_clients.iter_mut().all(|client| client.response().status() == 200));
-        // Each request once, and no other.
+        // Each request has arrived exactly once, and no other request has arrived.
         arrived_ids.sort();
         let mut expected_ids: Vec<String> = (0..9).map(|number| format!("p-{number}")).collect();
         expected_ids.insert(0, "connected".to_string());
@@ -213,14 +235,14 @@
     let discovery = FakeDiscovery::start();
     let edge = NodeConfiguration::new(&[]).discovery(discovery.address).start();
     discovery.wait_for_watch();
-    // A body that lacks a byte.
+    // The body lacks one byte.
     let mut incomplete = edge.connect();
     let text = request("post", "slow").text();
     incomplete.send_raw(&text[..text.len() - 1]);
     incomplete.close_write_half();
-    // Returns once the node has closed its side.
+    // This returns once the node has closed its side of the connection.
     incomplete.read_to_end();
-    // The node knows no endpoint, so the request is queued.
+    // The endpoint list is empty, so the request is queued.
     let request = without_time_limit("post", "p-1");
     disconnect(client_in_progress(&edge, &request));
     let mut second = send_again(&edge, &request);
@@ -231,41 +253,43 @@
     endpoint.assert_no_request_until_node_ended();
 }
 
-/// An endpoint with a full backlog: no further connection to it is established until it accepts.
-struct FullEndpoint {
+/// An endpoint with a full backlog. No further connection to it is established until it accepts connections.
+struct FullBacklogEndpoint {
     address: SocketAddr,
     listener: TcpListener,
-    filling: Vec<TcpStream>,
+    /// The connections that fill the backlog.
+    backlog_connections: Vec<TcpStream>,
 }
 
-impl FullEndpoint {
-    fn new() -> FullEndpoint {
-        let socket = TcpSocket::new_v4().expect("a socket");
-        socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_io().build().expect("a runtime");
+impl FullBacklogEndpoint {
+    fn new() -> FullBacklogEndpoint {
+        let socket = TcpSocket::new_v4().expect("a TCP socket is created");
+        socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a loopback port is bound");
+        let runtime =
+            tokio::runtime::Builder::new_current_thread().enable_io().build().expect("a runtime is built");
         let listener = runtime
             .block_on(async { socket.listen(0).and_then(|listener| listener.into_std()) })
-            .expect("a listener");
-        listener.set_nonblocking(false).expect("a listener");
-        let address = listener.local_addr().expect("an address");
-        let mut filling = Vec::new();
+            .expect("the socket listens");
+        listener.set_nonblocking(false).expect("the listener is set to blocking mode");
+        let address = listener.local_addr().expect("the listener has a local address");
+        let mut backlog_connections = Vec::new();
         let connect_timeout = Duration::from_millis(300);
         while let Ok(stream) = TcpStream::connect_timeout(&address, connect_timeout) {
-            filling.push(stream);
+            backlog_connections.push(stream);
         }
-        FullEndpoint { address, listener, filling }
+        FullBacklogEndpoint { address, listener, backlog_connections }
     }
 
-    /// Accepts from here on, first the connections that filled the backlog.
+    /// Starts to accept connections, beginning with those that filled the backlog.
     fn accept_all(self) -> FakeEndpoint {
-        drop(self.filling);
+        drop(self.backlog_connections);
         FakeEndpoint::with_listener(self.listener)
     }
 }
 
 #[test]
 fn endpoint_that_starts_draining_while_a_connection_to_it_comes_up_gets_no_request() {
-    let full_endpoint = FullEndpoint::new();
+    let full_endpoint = FullBacklogEndpoint::new();
     let second_endpoint = FakeEndpoint::start();
     let discovery = FakeDiscovery::start();
     let edge = NodeConfiguration::new(&[active("s-1", full_endpoint.address)])
@@ -277,7 +301,8 @@
     discovery.publish(active("s-2", second_endpoint.address));
     discovery.publish(endpoint_entry("s-1", full_endpoint.address, "a", "draining"));
     let first_endpoint = full_endpoint.accept_all();
-    // Also a non-idempotent request goes elsewhere: without a connection nothing ran.
+    // A non-idempotent request is sent to another endpoint as well, since it can't have run without a
+    // connection.
     second_endpoint.next_request().respond_ok("elsewhere");
     assert_eq!(client.response().body, b"elsewhere");
     drop(edge);
--- a/tests/closing_connections.rs
+++ b/tests/closing_connections.rs
@@ -1,5 +1,7 @@
-//! Requests that cross the close of an idle connection, at a node in the test's own process: the test writes to the
-//! socket and asks for the close before the runtime can have learned of the bytes.
+//! A request that arrives while its idle connection is being closed must be served and not lost.
+//!
+//! The node runs in the test's process. The test writes to the socket and requests the close before the
+//! runtime can learn of the bytes.
 
 mod fakes;
 
@@ -23,7 +25,7 @@
 
 const READINESS_CHECK: &str = "GET /up HTTP/1.1\r\nHost: n0\r\n\r\n";
 
-/// The downstream side of a node without endpoints, and where it listens.
+/// The downstream side of a node without endpoints, and its address.
 struct Server {
     downstream: Rc<DownstreamServer>,
     address: SocketAddr,
@@ -31,7 +33,8 @@
 
 impl Server {
     async fn start() -> Server {
-        let document: SettingsDocument = serde_json::from_value(node_settings()).expect("settings");
+        let document: SettingsDocument =
+            serde_json::from_value(node_settings()).expect("the test settings are valid");
         let rules = RequestRules::new(&document);
         let settings = Settings::from(document);
         let budget = DescriptorBudget::new(64);
@@ -43,35 +46,38 @@
         let event_loop =
             EventLoop::new(DecisionEngine::new(1, settings), 4, upstreams, counter, discovery.clone());
         let downstream = DownstreamServer::new(event_loop, rules, budget);
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a loopback port is bound");
+        let address = listener.local_addr().expect("the listener has a local address");
         spawn_local(downstream.clone().accept(listener, async {}));
         Server { downstream, address }
     }
 
-    /// A client whose connection has served a request and is idle.
+    /// Returns a client whose connection has served one request and is idle.
     async fn idle_client(&self) -> Client {
         let address = self.address;
-        let mut client = spawn_blocking(move || Client::connect(address)).await.expect("no panic");
+        let mut client = spawn_blocking(move || Client::connect(address))
+            .await
+            .expect("the connecting thread does not panic");
         client.send_raw(READINESS_CHECK);
         let (client, response) = response_of(client).await;
-        assert_eq!(response.expect("a response").status(), 200);
+        assert_eq!(response.expect("the readiness check is answered").status(), 200);
         client
     }
 }
 
-/// Waits for the next response of a client on a thread of its own, while the node runs on this one.
+/// Waits for the client's next response, or the end of its connection, on another thread, while the node runs
+/// on this one.
 async fn response_of(mut client: Client) -> (Client, Option<HttpMessage>) {
     let waiting = spawn_blocking(move || {
         let response = client.response_or_end();
         (client, response)
     });
-    waiting.await.expect("no panic")
+    waiting.await.expect("the thread that waits for the response does not panic")
 }
 
 fn run(test: impl Future<Output = ()>) {
     let mut builder = Builder::new_current_thread();
-    let runtime = builder.enable_all().build_local(LocalOptions::default()).expect("a runtime");
+    let runtime = builder.enable_all().build_local(LocalOptions::default()).expect("a runtime is built");
     runtime.block_on(test);
 }
 
@@ -80,14 +86,15 @@
     run(async {
         let server = Server::start().await;
         let mut client = server.idle_client().await;
-        // No turn of the runtime between these two.
+        // The runtime does not run between these two statements.
         client.send_raw(READINESS_CHECK);
         server.downstream.close_idle_connections();
         let (client, response) = response_of(client).await;
-        let response = response.expect("the connection was closed over an unread request");
+        let response =
+            response.expect("expected a response to the unread request, got the end of the connection");
         assert_eq!(response.status(), 200);
         assert_eq!(response.header("connection"), Some("close"));
         let (_, end) = response_of(client).await;
-        assert!(end.is_none(), "the connection ends with that response");
+        assert!(end.is_none(), "expected the connection to end after the response, got a further response");
     });
 }
--- a/tests/connection_close_races.rs
+++ b/tests/connection_close_races.rs
@@ -1,4 +1,5 @@
-//! Bytes that cross the close of a connection, and responses that are cut off. The peer forces each interleaving.
+//! Bytes that arrive while a connection is being closed, and responses that end early, must neither lose a
+//! request nor repeat one that must not run twice. The test's clients and endpoints force each interleaving.
 
 mod fakes;
 
@@ -11,12 +12,15 @@
     ReceivedRequest, RequestSpec,
 };
 
-/// A client that sends a request in two parts, the first of them behind a complete request.
+/// A client that sends a request in two parts, the first of them directly after another complete request.
 struct PartialRequest {
     client: Client,
     number: usize,
+    /// The id of the request that is sent in two parts.
     id: String,
+    /// The full text of that request.
     text: String,
+    /// The number of bytes of `text` that have been sent.
     sent_length: usize,
 }
 
@@ -27,7 +31,7 @@
         PartialRequest { client, number, id, text, sent_length: 0 }
     }
 
-    /// Sends a complete request together with this many bytes of the second.
+    /// Sends a complete request together with the first `sent_length` bytes of the second one.
     fn send_behind_another(&mut self, sent_length: usize) {
         let first = request("lookup", &format!("first-{}", self.number)).text();
         self.client.send_raw(&format!("{first}{}", &self.text[..sent_length]));
@@ -41,7 +45,8 @@
 
 #[test]
 fn partial_request_behind_another_is_served_when_idle_connections_close() {
-    // A part of a request that arrived together with the request before it is no longer unread in the socket.
+    // A part of a request that arrived together with the request before it has been read from the socket
+    // already, so unread bytes in the socket don't reveal it.
     let endpoint = FakeEndpoint::start();
     let edge = NodeConfiguration::new(&[active("s-1", endpoint.address)]).start();
     let mut idle = edge.connect();
@@ -61,9 +66,10 @@
         assert_eq!(partial.client.response().body, b"first");
     }
     edge.terminate();
-    // Returns when idle connections close.
+    // This returns when the node closes the idle connections.
     assert!(idle.response_or_end().is_none());
-    // All at once: a connection that closes waits at most a second for the rest of a partial request.
+    // All clients send before any response is awaited, because a closing connection waits at most one second
+    // for the rest of a partial request.
     for partial in &mut clients {
         partial.send_rest();
     }
@@ -74,7 +80,7 @@
     }
     for partial in &mut clients {
         let response = partial.client.response_or_end();
-        let response = response.expect("a response on the connection with a partial request");
+        let response = response.expect("the partial request is served before its connection closes");
         assert_eq!(response.body, partial.id.as_bytes());
         assert_eq!(response.header("connection"), Some("close"));
     }
@@ -94,7 +100,7 @@
         first.send_response("200 OK", "first");
         assert_eq!(client.response().body, b"first");
         first.send_raw(partial_line.as_bytes());
-        // The node closes the connection because of these bytes.
+        // The node closes the connection because of the unexpected bytes.
         endpoint.assert_connection_ended();
         client.send(&request("post", &format!("q-{number}")));
         let next = endpoint.next_request();
@@ -114,11 +120,12 @@
     let edge = NodeConfiguration::new(&entries).start();
     let next_request = || next_request_at_any(&[&endpoints[0], &endpoints[1]]);
     let mut client = edge.connect();
-    // Closed in order: the response is complete.
+    // The endpoint closes the connection in order, so the response is complete.
     client.send(&request("post", "in-order"));
     next_request().request.send_raw_and_close(text);
     assert_eq!(client.response().body, b"some of it");
-    // Reset: a request that may have run is neither served nor rejected, and not sent again.
+    // The endpoint resets the connection, so the response is incomplete. The request may have run, so it
+    // fails; it is neither served nor rejected, and not sent again.
     let reset_next = || {
         let received = next_request();
         endpoints[received.endpoint].send_raw_and_reset(received.request, text);
@@ -126,7 +133,7 @@
     client.send(&request("post", "p-1"));
     reset_next();
     assert_failed(&client.response());
-    // A request that is safe to repeat is sent once more.
+    // A safe request is sent again.
     client.send(&request("lookup", "l-1"));
     reset_next();
     let retried = next_request().request;
@@ -141,7 +148,8 @@
 #[test]
 fn keyed_request_that_may_have_run_is_not_repeated_where_connecting_may_outlast_the_deduplication_window() {
     let endpoint = FakeEndpoint::start();
-    // The window still holds when the connection breaks, but not at the latest time at which a new one is established.
+    // The deduplication window is still open when the connection breaks, but no longer at the latest time at
+    // which a new connection may be established.
     let edge = NodeConfiguration::new(&[active("s-1", endpoint.address)])
         .deduplication_window(30_000_000)
         .connect_timeout(30_000_000)
@@ -156,7 +164,8 @@
 #[test]
 fn keyed_request_is_not_repeated_past_its_window_where_the_settings_name_no_time_for_connecting() {
     let endpoint = FakeEndpoint::start();
-    // Shorter than the time that connecting may take by default, and long enough for the connection to break in it.
+    // The window is shorter than the default connect timeout, and long enough for the connection to break
+    // within it.
     let edge = NodeConfiguration::new(&[active("s-1", endpoint.address)])
         .deduplication_window(249_000)
         .connect_timeout(0)
@@ -177,11 +186,12 @@
     let mut client = edge.connect();
     client.send(&RequestSpec { deadline_ms: 20_000, ..request("post", "p-1") });
     let first = next_request();
-    // The node had read the request by now, and counts the client's time from then at the latest.
+    // The node has read the request by now, and counts the deadline from that time at the latest.
     let read_by = Instant::now();
     let deadline_ms = |request: &ReceivedRequest| -> u128 {
-        let header = request.message.header("x-deadline-ms").expect("a time");
-        header.parse().expect("milliseconds without a fraction")
+        let header =
+            request.message.header("x-deadline-ms").expect("the attempt has an X-Deadline-Ms header");
+        header.parse().expect("X-Deadline-Ms is an integer")
     };
     assert!(deadline_ms(&first) <= 20_000);
     sleep(Duration::from_millis(400));
@@ -189,7 +199,10 @@
     first.respond("503 Service Unavailable", "X-Not-Run: 1\r\n", "");
     let second = next_request();
     let remaining_ms = deadline_ms(&second);
-    assert!(remaining_ms + elapsed_ms <= 20_000, "{remaining_ms} ms left after {elapsed_ms} ms");
+    assert!(
+        remaining_ms + elapsed_ms <= 20_000,
+        "expected at most 20000 ms in total, got {remaining_ms} ms left after {elapsed_ms} ms"
+    );
     second.respond_ok("ok");
     assert_eq!(client.response().status(), 200);
 }
@@ -197,13 +210,16 @@
 #[test]
 fn the_pipeline_separates_the_bytes_of_successive_requests() {
     let head = "POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\n";
-    // In one piece and byte by byte, with either kind of line end.
+    // Each text is received in one piece and byte by byte, and with both kinds of line ends.
     for text in [format!("\r\n{head}slip!"), format!("{}slip!", head.replace('\r', ""))] {
         let mut in_one_piece = Pipeline::new();
         in_one_piece.bytes_received(format!("{text}\r\n").as_bytes());
         assert!(in_one_piece.has_partial_request());
         in_one_piece.request_started(Some(5));
-        assert!(!in_one_piece.has_partial_request(), "empty lines begin no request");
+        assert!(
+            !in_one_piece.has_partial_request(),
+            "expected empty lines not to count as a partial request"
+        );
         in_one_piece.bytes_received(b"P");
         assert!(in_one_piece.has_partial_request());
         let mut byte_by_byte = Pipeline::new();
@@ -219,7 +235,7 @@
         byte_by_byte.bytes_received(text.as_bytes());
         assert!(byte_by_byte.has_partial_request());
     }
-    // Behind a body whose end is unknown no request is served.
+    // No request is served after a body whose end is unknown.
     let mut endless = Pipeline::new();
     endless.bytes_received(head.as_bytes());
     endless.request_started(None);
@@ -229,7 +245,7 @@
 
 #[test]
 fn request_read_behind_the_last_response_of_a_connection_is_not_forwarded() {
-    // One that is read ahead with the first, and more than is read ahead.
+    // One copy is read ahead together with the first request; 300 copies are more than the node reads ahead.
     for copies in [1, 300] {
         let endpoint = FakeEndpoint::start();
         let edge = NodeConfiguration::new(&[active("s-1", endpoint.address)]).start();
--- a/tests/descriptor_budget.rs
+++ b/tests/descriptor_budget.rs
@@ -1,4 +1,4 @@
-//! Which idle client connections are closed to free descriptors.
+//! The order in which client connections are closed or aborted to free descriptors.
 
 use std::future::Future;
 use std::pin::pin;
@@ -17,17 +17,23 @@
     for _ in 0..5 {
         budget.connection_opened();
     }
-    assert!(budget.close_idle_downstream(), "a few new ones must not keep it");
+    assert!(
+        budget.close_idle_downstream(),
+        "expected the idle connection to be closed while 5 of at most 12 connections are unclassified"
+    );
     budget.register_idle(Rc::default(), true);
     budget.connection_opened();
-    assert!(!budget.close_idle_downstream(), "a flood must not push it out");
+    assert!(
+        !budget.close_idle_downstream(),
+        "expected the used idle connection to stay while 6 of at most 12 connections are unclassified"
+    );
     budget.register_idle(Rc::default(), false);
-    assert!(budget.close_idle_downstream(), "one that never sent a request goes first");
+    assert!(budget.close_idle_downstream(), "expected the connection that never sent a request to be closed");
     budget.connection_classified();
     assert!(budget.close_idle_downstream());
 }
 
-/// Whether a notification waits to be taken.
+/// Returns whether a notification is pending, and consumes it.
 fn is_notified(notify: &Notify) -> bool {
     let mut context = Context::from_waker(Waker::noop());
     pin!(notify.notified()).poll(&mut context).is_ready()
@@ -42,13 +48,22 @@
     let later = budget.register_partial_request(Rc::default(), now + Duration::from_secs(3_600));
     budget.register_idle(Rc::default(), true);
     assert!(budget.close_idle_downstream());
-    assert!(is_notified(&due), "the partial request that is due goes first");
-    assert!(budget.close_idle_downstream(), "then the idle connection");
-    assert!(!budget.close_idle_downstream(), "a partial request that is not due stays");
+    assert!(
+        is_notified(&due),
+        "expected the evictable partial request to be aborted before the idle connection is closed"
+    );
+    assert!(
+        budget.close_idle_downstream(),
+        "expected the idle connection to be closed after the partial request"
+    );
+    assert!(
+        !budget.close_idle_downstream(),
+        "expected the partial request that is not evictable yet to stay"
+    );
     budget.unregister_partial_request(later);
     budget.register_partial_request(Rc::default(), now);
     budget.register_idle(Rc::default(), false);
-    assert!(budget.close_idle_downstream(), "one that never sent a request goes first");
+    assert!(budget.close_idle_downstream(), "expected the connection that never sent a request to be closed");
     assert!(budget.close_idle_downstream());
     assert!(!budget.close_idle_downstream());
 }
--- a/tests/descriptor_exhaustion.rs
+++ b/tests/descriptor_exhaustion.rs
@@ -1,4 +1,8 @@
-//! All descriptors in use while discovery and the counter service are down. The kernel itself enforces the limit.
+//! When all descriptors are in use, the node must still connect to discovery, the counter service and
+//! endpoints.
+//!
+//! Idle clients fill the descriptors while discovery and the counter service are down. The kernel enforces
+//! the limit.
 
 mod fakes;
 
@@ -21,14 +25,15 @@
         .counter(counter.address)
         .descriptors(40)
         .start();
-    // Requests in flight take a descriptor on either side.
+    // Each request in flight holds one descriptor downstream and one upstream.
     let mut busy_clients: Vec<Client> = (0..5).map(|_| edge.connect()).collect();
     let mut in_flight = Vec::new();
     for (number, client) in busy_clients.iter_mut().enumerate() {
         client.send(&request("post", &format!("held-{number}")));
         in_flight.push(old_endpoint.next_request());
     }
-    // Many more than there are descriptors. Each is idle after its response and stays open on the client's side.
+    // There are many more clients than descriptors. Each connection is idle after its response, and its
+    // client keeps it open.
     let mut idle_clients = edge.connect_having_sent([READINESS_CHECK; 60]);
     for client in &mut idle_clients {
         assert_eq!(client.response().status(), 200);
@@ -44,9 +49,9 @@
         call = discovery.next_request();
     }
 
-    // The last client is still connected.
+    // The connection of the last client is still open.
     let [.., mut connected] = idle_clients;
-    // An account of its own, since an account has one plan.
+    // The request needs another account, because each account has one plan.
     let request = paid_request("post", "p-1").text();
     connected.send_raw(&request.replace("key=0000000000000007", "key=0000000000000008"));
     let mut increment = counter.next_call();
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -1,4 +1,7 @@
-//! Graceful shutdown while requests, connections and responses are under way: real signals on real sockets.
+//! A graceful shutdown must not lose requests that are in progress, partly read or in the backlog, nor their
+//! responses.
+//!
+//! The tests send real signals to a node process and use real sockets.
 
 mod fakes;
 
@@ -14,7 +17,8 @@
 
 #[test]
 fn shutdown_answers_requests_in_progress_however_short_the_timeouts() {
-    // Computed from the longest timeout alone, the end of the shutdown would come before the listener closes.
+    // If the end of the shutdown were computed from the longest timeout only, it would precede the close of
+    // the listener.
     for micros in [1_000, 50_000, 200_000, 500_000] {
         let endpoint = FakeEndpoint::start();
         let edge = NodeConfiguration::new(&[active("s-1", endpoint.address)]).total_timeout(micros).start();
@@ -22,7 +26,7 @@
         client.send(&request("post", "p-1"));
         let _in_flight = endpoint.next_request();
         edge.terminate();
-        let response = client.response_or_end().expect("a complete response before the process ends");
+        let response = client.response_or_end().expect("the request is answered before the process ends");
         assert_eq!(response.status(), 502, "timeouts of {micros} us");
         assert!(edge.wait_for_end().status.success());
     }
@@ -32,13 +36,13 @@
 fn connection_that_waits_for_a_descriptor_when_the_listener_closes_is_answered() {
     let endpoint = FakeEndpoint::start();
     let counter = FakeCounter::start();
-    // Descriptors for nine clients.
+    // These descriptors are enough for nine client connections.
     let edge = NodeConfiguration::new(&[active("s-1", endpoint.address)])
         .counter(counter.address)
         .counter_timeout(20_000_000)
         .descriptors(40)
         .start();
-    // A connection whose request waits for the counter is neither idle nor does it start an attempt.
+    // A connection whose request waits for the counter service is not idle, and the request has no attempt.
     let texts: [String; 9] = from_fn(|number| match number {
         0..6 => request("post", &format!("p-{number}")).text(),
         _ => paid_request_of_account(number),
@@ -46,16 +50,19 @@
     let _busy_clients = edge.connect_having_sent(texts);
     let in_flight: Vec<ReceivedRequest> = (0..6).map(|_| endpoint.next_request()).collect();
     let _unanswered: Vec<CounterCall> = (6..9).map(|_| counter.next_call()).collect();
-    // Connected as far as the kernel is concerned, though no descriptor is left for it.
+    // The kernel has established this connection, but no descriptor is left for the node to accept it.
     let mut late_client = edge.connect();
     late_client.send(&request("post", "p-late"));
     edge.terminate();
-    assert!(late_client.response_or_end().is_some(), "the connection was reset in the backlog");
+    assert!(
+        late_client.response_or_end().is_some(),
+        "expected a response to the request from the backlog, got the end of the connection"
+    );
     drop(in_flight);
     assert!(edge.wait_for_end().status.success());
 }
 
-/// A request of the plan with a quota, of an account of its own.
+/// Returns the text of a request of the plan with a quota, from an account that no other request uses.
 fn paid_request_of_account(account: usize) -> String {
     let text = paid_request("post", &format!("paid-{account}")).text();
     text.replace("key=0000000000000007", &format!("key={:016x}", 0x10 + account))
@@ -78,9 +85,10 @@
     reused.send_raw(&on_reused[..30]);
     new.send_raw(&on_new[..30]);
     edge.terminate();
-    // Returns when idle connections close.
+    // This returns when the node closes the idle connections.
     assert!(idle.response_or_end().is_none());
-    // Both at once: a connection that closes waits at most a second for the rest of a partial request.
+    // Both clients send before any response is awaited, because a closing connection waits at most one second
+    // for the rest of a partial request.
     reused.send_raw(&on_reused[30..]);
     new.send_raw(&on_new[30..]);
     for _ in 0..2 {
@@ -89,7 +97,8 @@
         received.respond_ok(&body);
     }
     for (mut client, id) in [(reused, "p-kept"), (new, "p-new")] {
-        let response = client.response_or_end().expect("a response on the connection with a partial request");
+        let response =
+            client.response_or_end().expect("the partial request is served before its connection closes");
         assert_eq!(response.body, id.as_bytes());
         assert_eq!(response.header("connection"), Some("close"));
     }
@@ -104,13 +113,14 @@
     client.send(&request("post", "p-1"));
     let in_flight = endpoint.next_request();
     edge.terminate_and_wait();
-    // More than is read ahead, so some of it is still in the socket when the response has been written.
+    // The node does not read all of these bytes ahead, so some are still in the socket when the response is
+    // written.
     client.send_raw(&"x".repeat(100_000));
     in_flight.respond_ok(&"y".repeat(64 * 1024));
     let response = client.response();
     assert_eq!(response.status(), 200);
     assert_eq!(response.body.len(), 64 * 1024);
-    assert!(client.is_closed_cleanly(), "the connection was reset");
+    assert!(client.is_closed_cleanly(), "expected a clean close of the connection, got a reset");
 }
 
 #[test]
@@ -123,13 +133,13 @@
     edge.terminate_and_wait();
     client.send_raw(&"x".repeat(100_000));
     in_flight.respond_ok(&"y".repeat(64 * 1024));
-    // The process has closed the connection by then, and most of the response lies in its kernel's buffer: a close
-    // over unread bytes drops that.
+    // The process has closed the connection by now, and most of the response is still in the kernel's send
+    // buffer. If the connection had been closed with unread bytes, the kernel would have dropped it.
     assert!(edge.wait_for_end().status.success());
     let response = client.response();
     assert_eq!(response.status(), 200);
     assert_eq!(response.body.len(), 64 * 1024);
-    assert!(client.is_closed_cleanly(), "the connection was reset");
+    assert!(client.is_closed_cleanly(), "expected a clean close of the connection, got a reset");
 }
 
 #[test]
@@ -155,7 +165,7 @@
 fn shutdown_releases_a_lease_that_the_counter_grants_during_it() {
     let endpoint = FakeEndpoint::start();
     let counter = FakeCounter::start();
-    // The call stays in flight for as long as the test delays its reply.
+    // With this timeout the call stays in flight for as long as the test delays its reply.
     let edge = NodeConfiguration::new(&[active("s-1", endpoint.address)])
         .counter(counter.address)
         .counter_timeout(20_000_000)
@@ -164,7 +174,7 @@
     client.send(&paid_request("post", "p-1"));
     let mut increment = counter.next_call();
     edge.terminate();
-    // When the listener closes the node releases the leases that it holds by then.
+    // When the listener closes, the node releases the leases that it holds at that time.
     while TcpStream::connect(edge.address).is_ok() {
         sleep(Duration::from_millis(5));
     }
@@ -173,7 +183,7 @@
     increment.reply_total(leased);
     endpoint.next_request().respond_ok("ok");
     assert_eq!(client.response().status(), 200);
-    // Other increments may come first; the release is the lease less the request's unit.
+    // Other increments may come first. The released amount is the lease less the one unit of the request.
     let mut total = leased;
     let mut released = 0.0;
     while released >= 0.0 {
@@ -189,7 +199,8 @@
 #[test]
 fn request_that_the_shutdown_failed_is_not_sent_when_descriptors_come_free() {
     let endpoint = FakeEndpoint::start();
-    // Descriptors for sixteen connections, nine of them for clients: seven attempts get one, two wait.
+    // These descriptors are enough for sixteen connections, nine of which may be client connections. So seven
+    // attempts get a descriptor, and two wait.
     let edge = NodeConfiguration::new(&[active("s-1", endpoint.address)])
         .total_timeout(50_000)
         .connect_timeout(60_000_000)
@@ -204,7 +215,7 @@
         assert_eq!(client.response().status(), 502);
     }
     assert!(edge.wait_for_end().status.success());
-    // Once its connections have ended, everything that the node sent has arrived.
+    // After the node's connections have ended, everything that it sent has arrived.
     for _ in 0..7 {
         endpoint.assert_connection_ended();
     }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,26 +1,27 @@
-//! The decision module keeps its line width, and the deploy file names all of its files.
+//! Checks the line width of the decision module, and that the deploy file lists exactly the files of the
+//! module.
 
 use std::path::Path;
 
-/// The most characters in one line.
+/// The largest number of characters in a line.
 const MAX_LINE_WIDTH: usize = 110;
 
-/// All files below a folder, sorted by path.
+/// Returns the paths of all files below a folder, sorted.
 fn files_below(folder: &Path) -> Vec<String> {
     let mut files = Vec::new();
-    for entry in std::fs::read_dir(folder).expect("a folder of the module") {
-        let path = entry.expect("an entry of the folder").path();
+    for entry in std::fs::read_dir(folder).expect("the folder of the module can be listed") {
+        let path = entry.expect("the folder entry can be read").path();
         if path.is_dir() {
             files.extend(files_below(&path));
         } else {
-            files.push(path.to_str().expect("a path in UTF-8").to_owned());
+            files.push(path.to_str().expect("the path is valid UTF-8").to_owned());
         }
     }
     files.sort();
     files
 }
 
-/// All files of the decision module.
+/// Returns the paths of all files of the decision module, sorted.
 fn decision_files() -> Vec<String> {
     files_below(Path::new("src/decision"))
 }
@@ -28,12 +29,12 @@
 #[test]
 fn decision_files_keep_their_line_width() {
     for file in decision_files() {
-        let text = std::fs::read_to_string(&file).expect("a text file");
+        let text = std::fs::read_to_string(&file).expect("the file can be read as UTF-8 text");
         for (index, line) in text.lines().enumerate() {
             let width = line.chars().count();
             assert!(
                 width <= MAX_LINE_WIDTH,
-                "{file}:{}: {width} characters; {MAX_LINE_WIDTH} are allowed",
+                "{file}:{}: expected at most {MAX_LINE_WIDTH} characters, got {width}",
                 index + 1
             );
         }
@@ -42,8 +43,10 @@
 
 #[test]
 fn deploy_file_names_all_decision_files_and_nothing_else() {
-    let deploy = std::fs::read_to_string("deploy/balancer.toml").expect("the deploy file");
-    let policy =
-        deploy.lines().find_map(|line| line.strip_prefix("policy = ")).expect("a line with `policy`");
+    let deploy = std::fs::read_to_string("deploy/balancer.toml").expect("the deploy file can be read");
+    let policy = deploy
+        .lines()
+        .find_map(|line| line.strip_prefix("policy = "))
+        .expect("the deploy file has a line `policy = ...`");
     assert_eq!(policy, format!("{:?}", decision_files()));
 }
--- a/tests/node_descriptor_limit.rs
+++ b/tests/node_descriptor_limit.rs
@@ -1,4 +1,7 @@
-//! Service with fewer descriptors than clients.
+//! A node with fewer descriptors than clients must go on serving requests.
+//!
+//! Idle connections, silent connections and connections with unfinished requests could hold all descriptors
+//! and block other clients.
 
 mod fakes;
 
@@ -9,6 +12,7 @@
 
 use fakes::{active, assert_served_by, request, Client, EdgeProcess, FakeEndpoint, NodeConfiguration};
 
+/// The descriptor limit of the node.
 const DESCRIPTORS: u32 = 40;
 
 /// A node with few descriptors and one endpoint.
@@ -27,7 +31,7 @@
 #[test]
 fn idle_connections_give_way_to_new_ones_and_no_request_is_lost() {
     let SmallNode { endpoint, edge } = small_node();
-    // Many more clients than descriptors, each idle after its response.
+    // There are many more clients than descriptors, and each connection is idle after its response.
     let mut idle_clients = Vec::new();
     for number in 0..100 {
         let [mut client] = edge.connect_having_sent([request("lookup", &format!("l-{number}")).text()]);
@@ -36,8 +40,9 @@
         idle_clients.push(client);
     }
     drop(idle_clients);
-    // More at once than there are descriptors for: the others wait in the backlog, and are served as soon as one of
-    // the earlier clients has its response and is idle, though its connection stays open.
+    // More clients connect at once than there are descriptors for. The others wait in the backlog, and are
+    // served as soon as one of the earlier clients has its response and is idle, although that client keeps
+    // its connection open.
     let texts = from_fn(|number| request("post", &format!("p-{number}")).text());
     let mut clients: [Client; 20] = edge.connect_having_sent(texts);
     for _ in 0..20 {
@@ -65,8 +70,9 @@
     assert_served_by(&endpoint, &mut regular, &request("post", "first"));
     let mut silent_clients = Vec::new();
     for number in 0..5 {
-        // Each time more of them than there are descriptors; the connection in use outlives them all. A new client
-        // that sent only after the response to the regular one would be silent itself.
+        // In each round there are more silent clients than descriptors, and the connection in use must stay
+        // open. The new client sends its request before the node runs: if it sent after the response to the
+        // regular client, it would be silent as well.
         let mut new_client = edge.while_suspended(|| {
             silent_clients.extend((0..30).map(|_| edge.connect()));
             let mut client = edge.connect();
@@ -83,27 +89,34 @@
     }
 }
 
-/// How many clients half-send a request in a crowd: more than twice as many as there are descriptors for.
-const HALF_SENT: usize = 20;
+/// The number of clients that send only a part of a request: more than twice as many as there are descriptors
+/// for.
+const HALF_SENT_CLIENTS: usize = 20;
 
-/// Asserts that a client behind a crowd that sent this much of a request is served before a node without a lack of
-/// descriptors has given up such a client.
+/// Asserts that many clients that have sent only `half_sent` of a request do not block another client for
+/// long.
+///
+/// The other client has to be served before a node with free descriptors gives up a client that has sent only
+/// `half_sent`.
 fn assert_half_sent_requests_give_way_soon(half_sent: &str) {
-    let empty_node = small_node();
+    let unloaded_node = small_node();
     let SmallNode { endpoint, edge } = small_node();
     let send_to = |edge: &EdgeProcess, text: &str| {
         let mut client = edge.connect();
         client.send_raw(text);
         client
     };
-    let (_crowd, mut client, mut alone) = edge.while_suspended(|| {
-        let crowd: [Client; HALF_SENT] = from_fn(|_| send_to(&edge, half_sent));
+    let (_crowd, mut client, mut undisturbed_client) = edge.while_suspended(|| {
+        let partial_clients: [Client; HALF_SENT_CLIENTS] = from_fn(|_| send_to(&edge, half_sent));
         let client = send_to(&edge, &request("lookup", "l-1").text());
-        (crowd, client, send_to(&empty_node.edge, half_sent))
+        (partial_clients, client, send_to(&unloaded_node.edge, half_sent))
     });
     endpoint.next_request().respond_ok("ok");
     client.assert_ok("ok");
-    assert!(alone.is_still_waiting(), "a client without a crowd was given up first");
+    assert!(
+        undisturbed_client.is_still_waiting(),
+        "expected the client to be served before a node with free descriptors gives up a partial request"
+    );
 }
 
 #[test]
@@ -120,7 +133,7 @@
 
 #[test]
 fn slow_requests_give_way_where_descriptors_run_out() {
-    let empty_node = small_node();
+    let unloaded_node = small_node();
     let SmallNode { endpoint, edge } = small_node();
     let text = request("post", "p-0").text();
     let connect_half_sent = |edge: &EdgeProcess| {
@@ -128,24 +141,27 @@
         client.send_raw(&text[..1]);
         client
     };
-    // More than four times as many as there are descriptors for.
-    let (crowd, mut client, mut alone) = edge.while_suspended(|| {
-        let crowd: Vec<Client> = (0..40).map(|_| connect_half_sent(&edge)).collect();
+    // There are more than four times as many slow clients as there are descriptors for.
+    let (partial_clients, mut client, mut undisturbed_client) = edge.while_suspended(|| {
+        let partial_clients: Vec<Client> = (0..40).map(|_| connect_half_sent(&edge)).collect();
         let mut client = edge.connect();
         client.send(&request("lookup", "l-1"));
-        (crowd, client, connect_half_sent(&empty_node.edge))
+        (partial_clients, client, connect_half_sent(&unloaded_node.edge))
     });
     let has_ended = AtomicBool::new(false);
     std::thread::scope(|scope| {
-        scope.spawn(|| send_slowly(crowd, &text[1..], &has_ended));
+        scope.spawn(|| send_slowly(partial_clients, &text[1..], &has_ended));
         endpoint.next_request().respond_ok("ok");
         client.assert_ok("ok");
         has_ended.store(true, Ordering::Relaxed);
     });
-    assert!(alone.is_still_waiting(), "a client without a crowd was given up first");
+    assert!(
+        undisturbed_client.is_still_waiting(),
+        "expected the client to be served before a node with free descriptors gives up a partial request"
+    );
 }
 
-/// Sends a byte of a request on each connection now and then, until the test has ended.
+/// Sends one byte of `text` on each connection every 50 ms until `has_ended` is set.
 fn send_slowly(mut clients: Vec<Client>, text: &str, has_ended: &AtomicBool) {
     for byte in text.chars() {
         sleep(Duration::from_millis(50));
--- a/tests/node_request_validation.rs
+++ b/tests/node_request_validation.rs
@@ -1,10 +1,11 @@
-//! Requests that the node refuses, and how it reads bodies.
+//! The node must refuse invalid requests without sending them to an endpoint, and read request bodies to
+//! their exact end.
 
 mod fakes;
 
 use fakes::{assert_served_by, one_endpoint, request, OneEndpoint};
 
-/// The longest body of a request, in bytes.
+/// The largest length of a request body in bytes.
 const MAX_BODY_LENGTH: usize = 64 * 1024;
 
 #[test]
@@ -45,7 +46,7 @@
         ("X-Deadline-Ms: 40000", "X-Deadline-Ms: 40000\r\nX-Deadline-Ms: 1"),
     ];
     for (part, replacement) in replacements {
-        assert!(good.contains(part), "{part}");
+        assert!(good.contains(part), "the valid request does not contain {part}");
         let mut client = edge.connect();
         client.send_raw(&good.replace(part, replacement));
         assert_eq!(client.response().status(), 400, "{part:?} -> {replacement:?}");
@@ -61,7 +62,7 @@
     client.send_raw(&good.replace("Content-Length: 5\r\n\r\nslip!", "Content-Length: 70000\r\n\r\n"));
     client.send_raw(&"x".repeat(70_000));
     assert_eq!(client.response().status(), 413);
-    // One that would take long to arrive is not waited for.
+    // The node refuses a body by its announced length, without waiting for it to arrive.
     let mut client = edge.connect();
     client.send_raw(&good.replace("Content-Length: 5", "Content-Length: 60000000"));
     assert_eq!(client.response().status(), 413);
@@ -107,6 +108,7 @@
     client.assert_ok("ok");
 }
 
+/// Returns one chunk of a chunked body.
 fn chunk(body: &str) -> String {
     format!("{:x}\r\n{body}\r\n", body.len())
 }
@@ -117,11 +119,11 @@
     let longest = "x".repeat(MAX_BODY_LENGTH);
     let rows = [
         (vec![format!("{}{}0\r\n\r\n", chunk("sl"), chunk("ip!"))], "slip!"),
-        // A chunk extension and a trailer are ignored.
+        // The node ignores a chunk extension and a trailer.
         (vec!["5;a=b\r\nslip!\r\n0\r\nX-Class: post\r\n\r\n".to_string()], "slip!"),
         (vec!["0\r\n\r\n".to_string()], ""),
         (vec![format!("{}0\r\n\r\n", chunk(&longest))], &longest),
-        // Byte by byte.
+        // The body arrives byte by byte.
         ("5\r\nslip!\r\n0\r\n\r\n".chars().map(String::from).collect(), "slip!"),
     ];
     for (number, (pieces, body)) in rows.into_iter().enumerate() {
@@ -168,7 +170,8 @@
     let OneEndpoint { endpoint, edge, mut client } = one_endpoint();
     let text = request("post", "p-1").text();
     assert_served_by(&endpoint, &mut client, &request("lookup", "l-1"));
-    // Silent from the start; half a head on a new connection, and on one in use; half a body.
+    // One client sends nothing. One sends half a head on a new connection, and one on a used connection. One
+    // sends a body that lacks two bytes.
     let silent = edge.connect();
     let mut half_head = edge.connect();
     let mut half_body = edge.connect();
--- a/tests/node_shutdown.rs
+++ b/tests/node_shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: what is still answered, and what the node returns to the counter service.
+//! During a graceful shutdown the node must answer its requests and release its leases to the counter
+//! service.
 
 mod fakes;
 
@@ -14,7 +15,8 @@
     client.send(&request("post", "p-1"));
     let pending = endpoint.next_request();
     edge.terminate();
-    // Requests are still accepted, on a connection that was open and on new ones, until a response says close.
+    // The node still accepts requests on new connections, and on an open connection until one of its
+    // responses has the header `Connection: close`.
     loop {
         later_client.send(&request("post", "p-2"));
         endpoint.next_request().respond_ok("ok");
@@ -24,7 +26,10 @@
             break;
         }
     }
-    assert!(later_client.response_or_end().is_none(), "the connection was to close");
+    assert!(
+        later_client.response_or_end().is_none(),
+        "expected the connection to end after `Connection: close`, got a further response"
+    );
     let mut new_client = edge.connect();
     assert_served_by(&endpoint, &mut new_client, &request("post", "p-3"));
     pending.respond_ok("pending");
@@ -49,7 +54,8 @@
     endpoint.next_request().respond_ok("ok");
     client.assert_ok("ok");
     edge.terminate();
-    // Whatever else is reported to the counter service, in the end the lease less the request is returned.
+    // The node may report other amounts to the counter service first. In the end it returns the lease less
+    // the one unit of the request.
     let returned = loop {
         let mut call = counter.next_call();
         total += call.amount;
@@ -62,7 +68,8 @@
     assert!(edge.wait_for_end().status.success());
 }
 
-/// The machine kills the process 3.7 s after SIGTERM, and what is unanswered by then is lost.
+/// The process is killed 3.7 s after SIGTERM, and requests without a response by then are lost. So the node
+/// must fail a request whose endpoint does not respond before that.
 #[test]
 fn shutdown_does_not_wait_for_an_unresponsive_endpoint_forever() {
     let OneEndpoint { endpoint, edge, mut client } = one_endpoint();
--- a/tests/partial_requests.rs
+++ b/tests/partial_requests.rs
@@ -1,4 +1,4 @@
-//! When a request that has arrived in part may be given up.
+//! The conditions under which a request that has arrived in part may be given up.
 
 use bytes::Bytes;
 use edge_node::net::descriptor_budget::{DescriptorBudget, RESERVED_DESCRIPTORS};
@@ -8,7 +8,7 @@
 
 const HEAD: &str = "POST /post HTTP/1.1\r\nContent-Length: 5\r\n\r\n";
 
-/// A connection on which this much has arrived.
+/// Returns the state of a connection on which `received` has arrived and which no longer counts as new.
 fn connection_with(received: &str) -> ConnectionState {
     let state = ConnectionState::new(DescriptorBudget::new(RESERVED_DESCRIPTORS + 20), false);
     state.bytes_received(received.as_bytes());
@@ -16,7 +16,7 @@
     state
 }
 
-/// The request whose head has arrived.
+/// Returns the request as hyper passes it on once its head has arrived.
 fn request_with_body() -> Request<Full<Bytes>> {
     Request::new(Full::new(Bytes::from_static(b"slip!")))
 }
