--- a/src/net/counter/client.rs
+++ b/src/net/counter/client.rs
@@ -1,4 +1,5 @@
-//! The client of the counter: spreads calls over a few connections, each key always on the same one.
+//! The client of the counter service. It distributes calls over a few connections by their key: all calls for
+//! one key use the same connection.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -13,13 +14,14 @@
 use crate::net::counter::resp::Increment;
 use crate::net::event_sink::EventSink;
 
-/// How many connections there are: a slow part of the counter delays only the keys that share a connection with its
-/// own.
+/// The number of connections to the counter service. If a part of the service is slow, it delays only the
+/// keys that share a connection with the keys of that part.
 const CONNECTION_COUNT: u64 = 4;
-/// Most calls that may be queued for one connection.
+/// The maximum number of calls queued for one connection.
 const MAX_QUEUED_CALLS: usize = 4096;
-/// The counter keeps no key for longer, in milliseconds, and adds no more in one call, in units.
+/// The longest time for which the counter service keeps a key, in milliseconds.
 const MAX_KEEP_MS: u64 = 60_000;
+/// The largest amount that the counter service adds in one call, in units.
 const MAX_AMOUNT: f64 = 1e9;
 
 /// A node's client of the counter service.
@@ -27,13 +29,14 @@
     address: Cell<Option<SocketAddr>>,
     call_timeout: Duration,
     connections: RefCell<Vec<Rc<CounterConnection>>>,
-    /// Calls whose outcome is still to be reported.
+    /// The number of calls whose outcome has not been reported yet.
     open_calls: Rc<Cell<usize>>,
 }
 
 impl CounterClient {
-    /// A client of the counter at this address, if the site has one. A call without a reply times out after
-    /// `call_timeout`, in microseconds.
+    /// Creates a client of the counter service at `address`; with `None` there is no counter service, and
+    /// every call fails. A call times out if no reply arrives within `call_timeout`, in microseconds (at
+    /// least 1).
     pub fn new(address: Option<SocketAddr>, call_timeout: Micros) -> Rc<Self> {
         Rc::new(CounterClient {
             address: Cell::new(address),
@@ -43,7 +46,12 @@
         })
     }
 
-    /// Adds to a counter; the outcome comes as an event.
+    /// Adds `amount` units to the counter `key`. The counter service keeps the counter for `keep_for`, in
+    /// microseconds.
+    ///
+    /// The outcome is sent to `events` as [`Event::CounterReplied`]. The call fails at once with
+    /// [`Outcome::ConnectFailed`] if there is no counter service, if `amount` is not finite, or if the queue
+    /// of the key's connection is full.
     pub fn increment(&self, events: &dyn EventSink, key: CounterKey, amount: f64, keep_for: Micros) {
         let connection = self.connections.borrow()[(key.0 % CONNECTION_COUNT) as usize].clone();
         let is_queue_full = connection.queue.borrow().len() >= MAX_QUEUED_CALLS;
@@ -61,35 +69,38 @@
         connection.wake.notify_one();
     }
 
-    /// Whether the outcome of every call has been reported.
+    /// Returns whether the outcome of every call has been reported.
     pub fn is_settled(&self) -> bool {
         self.open_calls.get() == 0
     }
 
-    /// Makes further calls at this address. Calls in flight to the old one end there; queued ones move along.
+    /// Sends all further calls to the counter service at `address`. Calls in flight stay with the
+    /// previous address; queued calls are sent to the new one. With `None` queued calls fail with
+    /// [`Outcome::ConnectFailed`].
     pub fn move_to(&self, events: &Rc<dyn EventSink>, address: Option<SocketAddr>) {
         if self.address.replace(address) == address {
             return;
         }
         let retired = self.connections.replace(new_connections());
-        let mut unserved = Vec::new();
+        let mut unsent = Vec::new();
         for (from, to) in retired.iter().zip(self.connections.borrow().iter()) {
             let queued = from.queue.take();
             match address {
                 Some(_) => *to.queue.borrow_mut() = queued,
-                None => unserved.extend(queued),
+                None => unsent.extend(queued),
             }
             from.retired.set(true);
             from.wake.notify_one();
         }
         self.start(events);
         let results = self.result_sink(events);
-        for call in unserved {
+        for call in unsent {
             results.report(call.increment.key, Outcome::ConnectFailed, 0.0);
         }
     }
 
-    /// Serves the calls from now on.
+    /// Starts one task per connection that sends the queued calls. Does nothing if there is no counter
+    /// service.
     pub fn start(&self, events: &Rc<dyn EventSink>) {
         let Some(address) = self.address.get() else { return };
         for connection in self.connections.borrow().iter() {
--- a/src/net/counter/connection.rs
+++ b/src/net/counter/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to the counter: the calls queued for it, and those that wait for their replies.
+//! One connection to the counter service, with its queued calls and the calls that wait for a reply.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -16,29 +16,35 @@
 use crate::net::counter::resp::{decode, encode, Increment, Reply, ReplyError};
 use crate::net::event_sink::EventSink;
 
-/// A connection on which nothing has arrived for this many time-outs, though a reply is due, is closed and opened
-/// anew. Otherwise a single connection on which the counter stops responding while it replies on others would end each
-/// call on it as timed out, for which the node pauses all counter calls. Where every reply takes longer than this,
-/// connections are opened for nothing, one each in this time.
+/// A connection on which a reply is due is replaced if nothing has arrived on it for this many call timeouts.
+///
+/// Otherwise, if the counter service stopped responding on one connection and still replied on the others,
+/// every call on that connection would time out, and the node pauses all counter calls after a timeout. If
+/// every reply takes longer than this, replacing the connection does not help: one connection is opened
+/// needlessly in each such period.
 const MAX_TIMEOUTS_WITHOUT_REPLY: u32 = 3;
 
-/// A call that waits to be written.
+/// A queued call, which has not been encoded for sending yet.
 pub(super) struct QueuedCall {
     pub(super) increment: Increment,
+    /// When the call was made; its timeout starts here.
     pub(super) made_at: Instant,
 }
 
-/// The calls for one connection, which is opened when there are any.
+/// A connection to the counter service and the queue of calls for it. It is opened when the queue holds a
+/// call.
 #[derive(Default)]
 pub(super) struct CounterConnection {
     pub(super) queue: RefCell<VecDeque<QueuedCall>>,
+    /// Signalled when a call was queued or `retired` was set.
     pub(super) wake: Notify,
-    /// The counter has moved: what is in flight ends here, and no new call begins.
+    /// Whether the counter service has moved to another address. Calls in flight are still completed on this
+    /// connection, and no new call is started on it.
     pub(super) retired: Cell<bool>,
 }
 
 impl CounterConnection {
-    /// Serves the queued calls until the counter has moved.
+    /// Sends the queued calls to `address` and reports their outcomes, until the connection is retired.
     pub(super) async fn run(&self, results: &ResultSink, address: SocketAddr, call_timeout: Duration) {
         loop {
             if self.queue.borrow().is_empty() {
@@ -54,7 +60,11 @@
         }
     }
 
-    /// Connects for the queued calls; those that get no connection in time were not added.
+    /// Opens a connection to `address` before the first queued call times out.
+    ///
+    /// Returns `None` if the queue is empty or the connection is not established. In the latter case calls
+    /// are reported as [`Outcome::ConnectFailed`], since they were not added: all queued calls if the
+    /// connection was refused, otherwise those that have timed out.
     async fn connect(
         &self,
         results: &ResultSink,
@@ -64,17 +74,17 @@
         let first_made_at = self.queue.borrow().front()?.made_at;
         let connected = timeout_at(first_made_at + call_timeout, TcpStream::connect(address)).await;
         if let Ok(Ok(stream)) = connected {
-            // Without it replies are late, not wrong.
+            // An error is ignored: without TCP_NODELAY replies arrive later but are correct.
             let _ = stream.set_nodelay(true);
             return Some(stream);
         }
         let was_refused = connected.is_ok();
-        // Only the calls queued by now: reporting one may lead to the next.
+        // Covers only the calls that are queued now: reporting the end of a call may queue another one.
         let queued = self.queue.borrow().len();
         for _ in 0..queued {
-            let is_over =
+            let has_failed =
                 |call: &mut QueuedCall| was_refused || call.made_at + call_timeout <= Instant::now();
-            let failed = self.queue.borrow_mut().pop_front_if(is_over);
+            let failed = self.queue.borrow_mut().pop_front_if(has_failed);
             let Some(call) = failed else { break };
             results.report(call.increment.key, Outcome::ConnectFailed, 0.0);
         }
@@ -82,24 +92,24 @@
     }
 }
 
-/// Reports to the decisions how calls ended.
+/// Reports the outcomes of calls to the decision engine.
 pub(super) struct ResultSink {
     pub(super) events: Rc<dyn EventSink>,
-    /// Calls whose outcome is still to be reported.
+    /// The number of calls whose outcome has not been reported yet.
     pub(super) open_calls: Rc<Cell<usize>>,
 }
 
 impl ResultSink {
-    /// Reports the end of a call.
+    /// Reports the outcome of a call that was not reported before. `total` is valid with [`Outcome::Ok`].
     pub(super) fn report(&self, key: CounterKey, outcome: Outcome, total: f64) {
         self.open_calls.set(self.open_calls.get() - 1);
         self.events.send(Event::CounterReplied { key, outcome, total });
     }
 
-    /// Reports what became of a call that was written, and perhaps reported as timed out.
+    /// Reports the outcome of a call that was encoded for sending and may have been reported as timed out.
     fn report_pending(&self, call: &PendingIncrement, outcome: Outcome, total: f64) {
         let key = call.key;
-        // A late reply must not be taken for that of a later call.
+        // A late reply has an event of its own, so that it is not matched to a later call for the same key.
         if call.timed_out {
             self.events.send(Event::LateCounterReply { key, outcome, total });
         } else {
@@ -108,68 +118,78 @@
     }
 }
 
-/// A call that was put on the connection and has no reply yet.
+/// A call that was encoded for sending and has no reply yet.
 struct PendingIncrement {
     key: CounterKey,
     made_at: Instant,
-    /// The position of its end among all bytes for this connection.
+    /// The end of the encoded call, as an offset in bytes from the first byte sent on this connection.
     ends_at_byte: u64,
-    /// It was reported as timed out; its reply is still to come and is reported as late.
+    /// Whether the call was reported as timed out. Its reply may still arrive and is then reported as late.
     timed_out: bool,
 }
 
-/// Why a connection ends.
+/// Why a connection is closed.
 #[derive(Debug, thiserror::Error)]
 enum ConnectionEnd {
-    /// The counter has moved, and no call waits for its reply.
-    #[error("the counter has moved")]
+    /// The counter service has moved to another address, and every call on this connection has a reply or has
+    /// timed out.
+    #[error("the counter service has moved to another address")]
     Retired,
-    /// The counter closed the connection or it broke.
-    #[error("the connection was closed")]
+    /// The counter service closed the connection, or reading or writing failed.
+    #[error("the connection to the counter service was closed")]
     Closed,
-    /// Nothing has arrived for too long.
-    #[error("the counter is not responding")]
+    /// A reply was due, and nothing arrived for [`MAX_TIMEOUTS_WITHOUT_REPLY`] call timeouts.
+    #[error("the counter service is not responding")]
     NotResponding,
-    /// A reply that no call waits for.
-    #[error("a reply without a call")]
+    /// A reply arrived that no call waits for.
+    #[error("received a reply without a pending call")]
     UnexpectedReply,
     /// A reply is malformed.
-    #[error("malformed reply")]
+    #[error("malformed reply from the counter service")]
     MalformedReply(#[source] ReplyError),
-    /// A reply has begun to arrive and does not end.
-    #[error("a reply was cut short")]
+    /// A reply began to arrive, and its rest did not arrive within half a call timeout.
+    #[error("incomplete reply from the counter service")]
     IncompleteReply,
 }
 
-/// What a connection has sent and received.
+/// The state of one open connection.
 struct Session {
+    /// Encoded calls that have not been written yet.
     outgoing: BytesMut,
+    /// Received bytes that are not a complete reply yet.
     incoming: BytesMut,
-    /// Bytes of all calls for this connection, and how many of them were written.
+    /// The total length of all calls encoded for this connection, in bytes.
     queued_bytes: u64,
+    /// How many of the `queued_bytes` have been written.
     written_bytes: u64,
+    /// The calls without a reply, in the order in which they are sent. Replies arrive in this order.
     pending: VecDeque<PendingIncrement>,
-    /// Since when a part of a reply waits for the rest.
+    /// When the last bytes of an incomplete reply arrived; `None` if `incoming` is empty.
     partial_reply_since: Option<Instant>,
+    /// When bytes last arrived, or when the session started if none have.
     last_received_at: Instant,
     call_timeout: Duration,
 }
 
-/// The times at which a session has something to do, if nothing arrives before.
+/// The times at which a session has to act if nothing arrives before; `None` if there is nothing to wait for.
 struct SessionTimers {
+    /// When the oldest call that has not been reported as timed out expires.
     call_expires_at: Option<Instant>,
+    /// When the connection is closed because the counter service is not responding.
     not_responding_at: Option<Instant>,
+    /// When the connection is closed because the rest of a reply has not arrived.
     reply_incomplete_at: Option<Instant>,
 }
 
 impl SessionTimers {
+    /// Returns the earliest of the times, or `None` if none is set.
     fn next(&self) -> Option<Instant> {
         let times = [self.call_expires_at, self.not_responding_at, self.reply_incomplete_at];
         times.into_iter().flatten().min()
     }
 }
 
-/// Serves calls on one connection until it ends.
+/// Sends calls on one open connection until it ends, then reports the calls that have no reply.
 async fn serve_connection(
     connection: &CounterConnection,
     results: &ResultSink,
@@ -196,6 +216,7 @@
         }
     }
 
+    /// Sends calls and reports replies until the connection ends. Returns why it ended.
     async fn run(
         &mut self,
         connection: &CounterConnection,
@@ -210,7 +231,7 @@
             self.encode_queued(connection);
             let timers = self.timers();
             let next_timer = timers.next();
-            let step = tokio::select! {
+            let result = tokio::select! {
                 written = writer.write_buf(&mut self.outgoing), if !self.outgoing.is_empty() => {
                     self.bytes_written(written)
                 }
@@ -220,13 +241,13 @@
                     self.timer_fired(&timers, results)
                 }
             };
-            if let Err(end) = step {
+            if let Err(end) = result {
                 return end;
             }
         }
     }
 
-    /// Puts the queued calls on the connection.
+    /// Encodes the queued calls into `outgoing` and adds them to the pending ones.
     fn encode_queued(&mut self, connection: &CounterConnection) {
         for call in connection.queue.borrow_mut().drain(..) {
             let length_before = self.outgoing.len();
@@ -241,6 +262,7 @@
         }
     }
 
+    /// Returns the times at which the session has to act next, given its current state.
     fn timers(&self) -> SessionTimers {
         let oldest_waiting = self.pending.iter().find(|call| !call.timed_out);
         let not_responding_at = |call: &PendingIncrement| {
@@ -253,6 +275,10 @@
         }
     }
 
+    /// Accounts for written bytes.
+    ///
+    /// # Errors
+    /// If the write failed or wrote nothing.
     fn bytes_written(&mut self, written: std::io::Result<usize>) -> Result<(), ConnectionEnd> {
         match written {
             Ok(count) if count > 0 => {
@@ -264,6 +290,10 @@
     }
 
     /// Reports the replies that are complete.
+    ///
+    /// # Errors
+    /// If the read failed, the counter service closed the connection, or a reply is malformed or belongs to
+    /// no call.
     fn bytes_received(
         &mut self,
         received: std::io::Result<usize>,
@@ -284,7 +314,11 @@
         Ok(())
     }
 
-    /// Ends the connection if a reply is overdue for too long, else reports the calls that have timed out.
+    /// Reports the calls that have timed out.
+    ///
+    /// # Errors
+    /// If the rest of an incomplete reply is overdue or the counter service is not responding. Then no call
+    /// is reported here.
     fn timer_fired(&mut self, timers: &SessionTimers, results: &ResultSink) -> Result<(), ConnectionEnd> {
         let now = Instant::now();
         let has_passed = |time: Option<Instant>| time.is_some_and(|time| time <= now);
@@ -303,19 +337,20 @@
         Ok(())
     }
 
-    /// Reports the calls that are left at the end of the connection. No call is made again here: whether one was
-    /// added is for the decisions to weigh.
+    /// Reports the calls without a reply after the connection has ended. They are not retried here: the
+    /// decision engine judges whether each of them was added.
     fn report_unanswered(self, results: &ResultSink, end: &ConnectionEnd) {
         let reply_was_malformed =
             matches!(end, ConnectionEnd::MalformedReply(_) | ConnectionEnd::IncompleteReply);
         for (position, call) in self.pending.into_iter().enumerate() {
             let outcome = if call.ends_at_byte > self.written_bytes {
+                // The call was not written completely, so it was not added.
                 Outcome::ConnectFailed
             } else if reply_was_malformed && position == 0 {
-                // The counter is alive, and this call was added.
+                // The counter service is alive, and it added this call: its reply was the malformed one.
                 Outcome::Error
             } else {
-                // It may have been added.
+                // The call was written completely, so it may have been added.
                 Outcome::Reset
             };
             results.report_pending(&call, outcome, 0.0);
--- a/src/net/counter/mod.rs
+++ b/src/net/counter/mod.rs
@@ -1,4 +1,4 @@
-//! The quota counter: pipelined RESP2 on a few connections.
+//! The client of the counter service, which pipelines RESP2 calls over a few connections.
 
 mod client;
 mod connection;
--- a/src/net/counter/resp.rs
+++ b/src/net/counter/resp.rs
@@ -1,4 +1,5 @@
-//! The counter's protocol: RESP2, of which the client writes one command and reads two kinds of replies.
+//! The protocol of the counter service: the subset of RESP2 with the command `INCRTTL`, bulk string replies
+//! and error replies.
 
 use std::fmt::Write;
 
@@ -6,31 +7,32 @@
 
 use crate::decision::CounterKey;
 
-/// Most bytes in an error reply, and in a total.
+/// The maximum length of an error reply, in bytes.
 const MAX_LINE_BYTES: usize = 512;
+/// The maximum length of a total, in bytes.
 const MAX_TOTAL_BYTES: usize = 64;
-/// Most digits of a total's length.
+/// The maximum number of digits in the length of a total.
 const MAX_LENGTH_DIGITS: usize = 3;
 const LINE_END: &[u8] = b"\r\n";
-/// Error replies begin with one of these words.
+/// The words that an error reply may start with.
 const ERROR_WORDS: [&str; 2] = ["BUSY", "ERR"];
 
-/// One call to the counter.
+/// A call that adds to a counter.
 pub(super) struct Increment {
-    /// The counter.
+    /// The counter to add to.
     pub(super) key: CounterKey,
-    /// Units to add.
+    /// The units to add.
     pub(super) amount: f64,
-    /// How long the service keeps a counter that this call creates.
+    /// How long the counter service keeps a counter that this call creates, in milliseconds.
     pub(super) keep_ms: u64,
 }
 
-/// Appends a call to the buffer.
+/// Appends the encoded call to `buffer`.
 pub(super) fn encode(buffer: &mut BytesMut, call: &Increment) {
     let key = call.key.0;
     let amount = call.amount.to_string();
     let keep = call.keep_ms.to_string();
-    // Writing to a buffer in memory does not fail.
+    // Writing to a buffer in memory cannot fail.
     let _ = write!(
         buffer,
         "*4\r\n$7\r\nINCRTTL\r\n$16\r\n{key:016x}\r\n${}\r\n{amount}\r\n${}\r\n{keep}\r\n",
@@ -39,40 +41,41 @@
     );
 }
 
-/// A reply of the counter.
+/// A reply of the counter service.
 #[derive(Debug, PartialEq)]
 pub enum Reply {
-    /// Added; the total.
+    /// The amount was added. Holds the counter's total after the call, in units.
     Total(f64),
-    /// Rejected; nothing was added.
+    /// The call was rejected; nothing was added.
     Rejected,
 }
 
-/// Why bytes are no reply of a counter.
+/// Why received bytes are not a valid reply.
 #[derive(Debug, PartialEq, Eq, Clone, Copy, thiserror::Error)]
 pub enum ReplyError {
-    /// They begin like no reply that the counter sends.
-    #[error("the reply is of an unknown kind")]
+    /// The bytes do not start like any reply that the counter service sends.
+    #[error("the reply is neither a bulk string nor a known error")]
     UnknownKind,
-    /// The length of a total is no number, or too large.
-    #[error("the length of the total is invalid")]
+    /// The length of a total is not a number, or is larger than allowed.
+    #[error("the length of the total is not a number or is too large")]
     InvalidLength,
     /// A total does not end where its length says.
-    #[error("the total has another length than announced")]
+    #[error("the total does not have the declared length")]
     WrongLength,
-    /// A total is no finite number.
-    #[error("the total is no finite number")]
+    /// A total is not a finite number.
+    #[error("the total is not a finite number")]
     InvalidTotal,
 }
 
-/// Takes one complete reply off the buffer; none if it holds only a part of one.
+/// Removes one complete reply from the start of `buffer` and returns it. Returns `None` if the buffer is
+/// empty or holds only a part of a reply.
 ///
 /// # Errors
-/// If the buffer begins with what cannot become a reply.
+/// If the bytes at the start of the buffer cannot be the start of a reply.
 pub fn decode(buffer: &mut BytesMut) -> Result<Option<Reply>, ReplyError> {
     let line_end = buffer.windows(LINE_END.len()).position(|window| window == LINE_END);
     let line = &buffer[..line_end.unwrap_or(buffer.len())];
-    // Checked before the line has ended: bytes that are no reply need not hold a line end.
+    // An incomplete line is checked as well, since bytes that are not a reply may never contain a line end.
     check_prefix(line)?;
     let Some(line_end) = line_end else { return Ok(None) };
     let text = std::str::from_utf8(line).map_err(|_| ReplyError::UnknownKind)?;
@@ -89,7 +92,11 @@
     }
 }
 
-/// Takes off a total of this length that begins at `start`.
+/// Removes a reply from `buffer` whose total begins at `start` and is `length` bytes long. Returns `None` if
+/// the reply is incomplete.
+///
+/// # Errors
+/// If the total has another length or is not a finite number.
 fn decode_total(buffer: &mut BytesMut, start: usize, length: usize) -> Result<Option<Reply>, ReplyError> {
     let end = start + length;
     let reply_end = end + LINE_END.len();
@@ -108,6 +115,10 @@
     Ok(Some(Reply::Total(total)))
 }
 
+/// Parses the length of a total, in bytes.
+///
+/// # Errors
+/// If it is not a number or exceeds [`MAX_TOTAL_BYTES`].
 fn parse_length(text: &str) -> Result<usize, ReplyError> {
     let length = text.parse::<usize>().map_err(|_| ReplyError::InvalidLength)?;
     if length > MAX_TOTAL_BYTES {
@@ -116,12 +127,15 @@
     Ok(length)
 }
 
-/// Checks that a line, which may still be cut off, can be the first of a reply.
+/// Checks that a line, of which only the beginning may have arrived, can be the first line of a reply.
+///
+/// # Errors
+/// If no reply starts like this line.
 fn check_prefix(line: &[u8]) -> Result<(), ReplyError> {
     match line {
         [] => Ok(()),
         [b'-', error @ ..] => {
-            let is_known = ERROR_WORDS.iter().any(|word| agree(error, word.as_bytes()));
+            let is_known = ERROR_WORDS.iter().any(|word| is_either_prefix(error, word.as_bytes()));
             if is_known && error.len() < MAX_LINE_BYTES {
                 Ok(())
             } else {
@@ -140,7 +154,7 @@
     }
 }
 
-/// Whether one of these begins with the other.
-fn agree(left: &[u8], right: &[u8]) -> bool {
+/// Returns whether one of the slices is a prefix of the other.
+fn is_either_prefix(left: &[u8], right: &[u8]) -> bool {
     left.iter().zip(right).all(|(left, right)| left == right)
 }
--- a/src/net/http_client.rs
+++ b/src/net/http_client.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 client connections: one request at a time, nothing sent again, closed when dropped.
+//! HTTP/1.1 client connections. A connection carries one request at a time, never retries, and is closed when
+//! dropped.
 
 use std::cell::Cell;
 use std::error::Error;
@@ -23,10 +24,10 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep_until, Instant};
 
-/// Most bytes that a connection reads ahead; no head is longer.
+/// The size of a connection's read buffer, in bytes. It limits the length of a response head.
 const MAX_BUFFER_BYTES: usize = 16 * 1024;
 
-/// When the response to the current request began to arrive.
+/// Tracks when the response to the current request began to arrive.
 #[derive(Default)]
 pub struct ResponseStart {
     began_at: Cell<Option<Instant>>,
@@ -34,13 +35,14 @@
 }
 
 impl ResponseStart {
-    /// Whether a response has begun to arrive.
+    /// Returns whether the response has begun to arrive.
     pub fn has_begun(&self) -> bool {
         self.began_at.get().is_some()
     }
 
-    /// Returns once a response has begun to arrive and this much time has passed since.
-    pub async fn exceeds(&self, response_time: Duration) {
+    /// Returns once `response_time` has passed since the response began to arrive. Notices only a response
+    /// that begins after the returned future was first polled.
+    pub async fn wait_until_exceeded(&self, response_time: Duration) {
         self.began.notified().await;
         match self.began_at.get() {
             Some(began_at) => sleep_until(began_at + response_time).await,
@@ -48,6 +50,7 @@
         }
     }
 
+    /// Records the arrival of bytes; only the first ones of a response count.
     fn bytes_arrived(&self) {
         if !self.has_begun() {
             self.began_at.set(Some(Instant::now()));
@@ -56,7 +59,7 @@
     }
 }
 
-/// A socket that notes when a response begins.
+/// A socket that records when a response begins to arrive.
 struct ResponseStartStream {
     stream: TcpStream,
     response_start: Rc<ResponseStart>,
@@ -110,20 +113,21 @@
 /// Why a request got no response.
 #[derive(Debug, thiserror::Error)]
 pub enum SendError {
-    /// Not a byte of the request was written; here it is again.
+    /// The connection closed before any byte of the request was written. Holds the request.
     #[error("the connection closed before the request was written")]
     NotWritten(Box<Request<Full<Bytes>>>),
-    /// Some of the request may have been written, and the connection broke.
-    #[error("the connection broke before the response")]
+    /// The connection broke after some of the request may have been written.
+    #[error("the connection broke before the response head arrived")]
     ConnectionBroken,
-    /// The response cannot be read or cannot be trusted. The connection is of no further use.
+    /// The response cannot be read, or its content cannot be trusted. The connection must not be used again.
     #[error("malformed response")]
     MalformedResponse,
 }
 
-/// An open connection. Dropping it closes the socket, whatever is in flight on it.
+/// An open connection. Dropping it closes the socket, even if a request is in flight.
 pub struct HttpConnection {
     sender: SendRequest<Full<Bytes>>,
+    /// The task that reads from and writes to the socket.
     driver: AbortHandle,
     response_start: Rc<ResponseStart>,
 }
@@ -135,10 +139,10 @@
 }
 
 impl HttpConnection {
-    /// Connects. `permit` lives as long as the socket.
+    /// Opens a connection to `address`. `permit` is dropped together with the socket.
     ///
     /// # Errors
-    /// If the connection is not established.
+    /// If the connection cannot be established.
     pub async fn open<P: 'static>(address: SocketAddr, permit: P) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
@@ -151,18 +155,18 @@
             .map_err(io::Error::other)?;
         let driver = spawn_local(async move {
             let _permit = permit;
-            // The request in flight is given the error as well.
+            // The error is ignored here, since the request in flight returns it as well.
             let _ = connection.await;
         });
         Ok(HttpConnection { sender, driver: driver.abort_handle(), response_start })
     }
 
-    /// Whether it is still open, as far as this side knows.
+    /// Returns whether the connection is open, as far as this side knows.
     pub fn is_open(&self) -> bool {
         !self.sender.is_closed()
     }
 
-    /// Observes when the response to the next request begins to arrive.
+    /// Resets the tracking of the response start and returns it for the next request.
     pub fn observe_response_start(&self) -> Rc<ResponseStart> {
         self.response_start.began_at.set(None);
         self.response_start.clone()
@@ -171,7 +175,7 @@
     /// Sends one request and waits for the head of its response.
     ///
     /// # Errors
-    /// If the connection ends first or the response is malformed.
+    /// If the connection ends before the head has arrived, or the head is malformed.
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, SendError> {
         if self.sender.ready().await.is_err() {
             return Err(SendError::NotWritten(Box::new(request)));
@@ -185,8 +189,10 @@
     }
 }
 
-/// Whether the head of a response says without doubt where the response ends. Without a length a broken connection
-/// cannot be distinguished from the end of a body, and of two different lengths neither can be trusted.
+/// Returns whether the head of a response defines unambiguously where the response ends.
+///
+/// Without a length a broken connection cannot be distinguished from the end of the body. If the head gives
+/// two lengths, neither can be trusted.
 pub fn has_unambiguous_length(response: &Response<Incoming>) -> bool {
     let headers = response.headers();
     let status = response.status();
@@ -199,6 +205,7 @@
     }
 }
 
+/// Returns whether the response has a header `Connection: close`.
 fn announces_close(response: &Response<Incoming>) -> bool {
     let values = response.headers().get_all(CONNECTION);
     values.iter().any(|value| value.as_bytes().eq_ignore_ascii_case(b"close"))
@@ -207,21 +214,21 @@
 /// Why a body could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum BodyError {
-    /// It is longer than allowed.
-    #[error("the body is too long")]
+    /// The body is longer than allowed.
+    #[error("the body is longer than allowed")]
     TooLong,
-    /// It cannot be decoded.
+    /// The body cannot be decoded.
     #[error("the body is malformed")]
     Malformed,
-    /// The connection broke first.
-    #[error("the connection broke within the body")]
+    /// The connection broke before the end of the body.
+    #[error("the connection broke before the end of the body")]
     ConnectionBroken,
 }
 
 /// Reads a complete body of at most `max_bytes`.
 ///
 /// # Errors
-/// If it is longer, malformed or cut off.
+/// If the body is longer or malformed, or the connection breaks before its end.
 pub async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, BodyError> {
     if body.size_hint().lower() > max_bytes as u64 {
         return Err(BodyError::TooLong);
@@ -234,7 +241,7 @@
     }
 }
 
-/// Whether a body ended because it cannot be decoded, and not with its connection.
+/// Returns whether reading a body failed because it cannot be decoded, and not because the connection broke.
 fn is_decoding_error(error: &(dyn Error + 'static)) -> bool {
     let cause = error.downcast_ref::<hyper::Error>().and_then(Error::source);
     let kind = cause.and_then(|cause| cause.downcast_ref::<io::Error>()).map(io::Error::kind);
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at an endpoint.
+//! Makes one attempt of a request at an endpoint.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -16,14 +16,14 @@
 use crate::net::upstream::request::ForwardedRequest;
 use crate::net::upstream::upstreams::{ConnectionChoice, Upstreams};
 
-/// How long a response may take from its first byte to its last.
+/// The maximum time from the first byte of a response to its last.
 const MAX_RESPONSE_TIME: Duration = Duration::from_millis(250);
 
 /// How an attempt ended.
 pub struct AttemptOutcome {
-    /// Its outcome, as the protocol's table has it.
+    /// The outcome, as defined by the protocol's table of outcomes.
     pub outcome: Outcome,
-    /// The body of the response, if the request was served.
+    /// The body of the response; `None` unless the request was served.
     pub body: Option<Bytes>,
 }
 
@@ -33,17 +33,19 @@
     }
 }
 
-/// How one use of a connection ended.
+/// The result of sending a request on one connection.
 enum ConnectionUse {
     /// The attempt has ended.
     Ended(AttemptOutcome),
-    /// Not a byte was written to an idle connection that turned out closed.
+    /// The idle connection turned out to be closed before any byte was written. Holds the request.
     StaleConnection(Box<Request<Full<Bytes>>>),
 }
 
 impl Upstreams {
-    /// Makes one attempt, which ends at `ends_at` at the latest. `maybe_written` holds while some of the request may
-    /// have been written.
+    /// Makes one attempt and returns its outcome at `ends_at` at the latest, in microseconds of Unix time.
+    ///
+    /// `maybe_written` is set while some of the request may have been written: a caller that cancels the
+    /// attempt learns from it whether the request may have run.
     pub async fn attempt(
         &self,
         clock: &Clock,
@@ -60,7 +62,7 @@
             let connection = match timeout_at(deadline, acquire).await {
                 Ok(Ok(connection)) => connection,
                 Ok(Err(AcquireError::NoDescriptor)) => return AttemptOutcome::without_body(Outcome::NotSent),
-                // Nothing has been written.
+                // Nothing was written, so the request did not run.
                 Ok(Err(_)) | Err(_) => return AttemptOutcome::without_body(Outcome::ConnectFailed),
             };
             let time_left_ms = ends_at.saturating_sub(clock.now()) / 1000;
@@ -70,7 +72,7 @@
             };
             match self.use_connection(endpoint, connection, message, deadline, maybe_written).await {
                 ConnectionUse::Ended(result) => return result,
-                // This is still the same attempt, on a new connection.
+                // The same attempt continues on a new connection, since the request was not written.
                 ConnectionUse::StaleConnection(message) => {
                     unwritten = Some(*message);
                     choice = ConnectionChoice::NewOnly;
@@ -80,7 +82,8 @@
         }
     }
 
-    /// Sends a request on a connection, and keeps the connection if it can serve another one.
+    /// Sends the request on `pooled` and reads the response. Returns the connection to its pool if it can be
+    /// reused.
     async fn use_connection(
         &self,
         endpoint: EndpointId,
@@ -96,10 +99,10 @@
             biased;
             result = timeout_at(deadline, exchange(&mut connection, message)) => match result {
                 Ok(result) => result,
-                // Whether the last byte went out is not known here, so it may have run.
+                // The request may have run, since it is not known here whether its last byte was sent.
                 Err(_) => return ConnectionUse::Ended(AttemptOutcome::without_body(Outcome::TimedOut)),
             },
-            () = response_start.exceeds(MAX_RESPONSE_TIME) => Err(SendError::MalformedResponse),
+            () = response_start.wait_until_exceeded(MAX_RESPONSE_TIME) => Err(SendError::MalformedResponse),
         };
         if !matches!(result, Err(SendError::NotWritten(_))) {
             let broke_before_response =
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -1,4 +1,5 @@
-//! One request and its response on a connection to an endpoint, with the outcome that the protocol gives to it.
+//! Sends a request on a connection to an endpoint, reads the response and derives the outcome that the
+//! protocol defines for it.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -9,13 +10,13 @@
 use crate::net::upstream::request::MAX_BODY_BYTES;
 use crate::protocol::headers::NOT_RUN;
 
-/// A response that was read.
+/// The result of a request whose response head was read.
 pub(super) struct Exchange {
-    /// How the request ended.
+    /// The outcome of the request.
     pub(super) outcome: Outcome,
-    /// The body, if the request was served.
+    /// The body of the response; `None` unless the request was served.
     pub(super) body: Option<Bytes>,
-    /// Whether the connection can serve another request.
+    /// Whether the connection can be used for another request.
     pub(super) is_reusable: bool,
 }
 
@@ -28,7 +29,7 @@
 /// Writes a request and reads its complete response.
 ///
 /// # Errors
-/// If there is no response, or one that is malformed.
+/// If no response head arrives, or the response is malformed or its body is too long.
 pub(super) async fn exchange(
     connection: &mut HttpConnection,
     message: Request<Full<Bytes>>,
@@ -42,7 +43,7 @@
     let did_not_run = response.headers().get(NOT_RUN).is_some_and(|value| value == "1");
     let body = read_body(response.into_body(), MAX_BODY_BYTES).await;
     if is_rejection && did_not_run {
-        // The head alone says that it has not run, whatever became of the body.
+        // The head is enough to know that the request did not run, even if the body could not be read.
         return Ok(Exchange::without_body(Outcome::Rejected, body.is_ok()));
     }
     match body {
@@ -55,13 +56,13 @@
     }
 }
 
-/// The outcome of a request that ended without a response that can be read.
+/// Returns the outcome of a request without a valid response.
 pub(super) fn outcome_of(error: &SendError) -> Outcome {
     match error {
         SendError::NotWritten(_) => Outcome::ConnectFailed,
         SendError::ConnectionBroken => Outcome::Reset,
-        // Any endpoint may send a malformed response. It is alive and no worse than others, and an ejection would
-        // take it from all requests.
+        // Any endpoint may send a malformed response. The endpoint is alive and no worse than others, so it
+        // must not be ejected, which would make it unavailable to all requests.
         SendError::MalformedResponse => Outcome::Error,
     }
 }
--- a/src/net/upstream/known_endpoints.rs
+++ b/src/net/upstream/known_endpoints.rs
@@ -1,8 +1,9 @@
-//! The endpoints that attempts may be sent to.
+//! The endpoints that attempts may be sent to, with their addresses.
 //!
-//! [`KnownEndpoints`] decides where an endpoint can be reached; the balancer's table decides which endpoints are
-//! selected. Discovery's `publish` updates both with a long list: this one at once and the table in parts. Endpoints
-//! known before stay reachable until the last part is announced.
+//! [`KnownEndpoints`] determines where an endpoint can be reached; the balancer's table determines which
+//! endpoints are selected. When discovery publishes a long list, it updates [`KnownEndpoints`] at once and
+//! the table in parts. The previous endpoints stay reachable until the decision engine has been notified of
+//! the last part.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,28 +11,31 @@
 use crate::decision::EndpointId;
 use crate::net::discovery::endpoints::{Endpoint, Endpoints};
 
-/// The endpoints known now and, while a replacement is under way, those known before.
+/// The current endpoints and, while the list is being replaced, the previous ones.
 #[derive(Default)]
 pub(super) struct KnownEndpoints {
+    /// The endpoints of the current list.
     pub(super) current: Arc<Endpoints>,
-    /// Set while the decisions are still being notified of a long list. Until they are notified that an endpoint was
-    /// removed they send to it, and would take it for one that has failed.
+    /// The endpoints of the previous list; set while the decision engine is being notified of a long list.
+    ///
+    /// Until the engine is notified that an endpoint was removed, it selects the endpoint. If the endpoint
+    /// could not be reached any more, the engine would treat it as failed.
     pub(super) previous: Option<Arc<Endpoints>>,
 }
 
 impl KnownEndpoints {
-    /// An endpoint as it is to be reached. The current list counts first: an endpoint that drains or has moved does
-    /// so at once.
+    /// Returns an endpoint of the current list, or else of the previous one; `None` if neither contains it.
+    /// The current list takes precedence, so that a change of an endpoint's state or address applies at once.
     pub(super) fn get(&self, id: EndpointId) -> Option<&Endpoint> {
         self.current.get(id).or_else(|| self.previous.as_ref()?.get(id))
     }
 
-    /// An endpoint that takes new requests.
+    /// Returns an endpoint that takes new requests; `None` if it is unknown, draining or removed.
     pub(super) fn get_active(&self, id: EndpointId) -> Option<&Endpoint> {
         self.get(id).filter(|endpoint| endpoint.is_active())
     }
 
-    /// Whether the current list names another endpoint at this address.
+    /// Returns whether the current list contains an endpoint other than `id` at `address`.
     pub(super) fn address_is_shared(&self, id: EndpointId, address: SocketAddr) -> bool {
         self.current.is_address_shared(id, address)
     }
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -1,4 +1,5 @@
-//! The upstream side: where endpoints are, the connections kept to each, attempts and their outcomes, probes.
+//! The upstream side: the addresses of endpoints, the pools of connections to them, attempts with their
+//! outcomes, and probes.
 
 mod attempt;
 mod exchange;
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -1,4 +1,5 @@
-//! The connections kept to endpoints, and new ones within the descriptor budget.
+//! The pools of idle connections to endpoints, and the opening of new connections within the descriptor
+//! budget.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,42 +18,47 @@
 use crate::net::upstream::known_endpoints::KnownEndpoints;
 use crate::net::upstream::reuse::ReuseLimit;
 
-/// How long a connection stays unused after a response. A second copy of a response may come some milliseconds
-/// behind it, and on a connection used again by then it would be matched to the next request. After that time it has
-/// come, and its connection is closed for it.
+/// The minimum time for which a connection stays idle after a response.
+///
+/// A duplicate of a response may arrive some milliseconds after it. If the connection were reused by then,
+/// the duplicate would be matched to the next request. By the end of this time the duplicate has arrived, and
+/// the connection has been closed because of it.
 const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(20);
 
-/// Why there is no connection to an endpoint.
+/// Why no connection to an endpoint is available.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum AcquireError {
-    /// The endpoint takes no new requests, or it was removed or moved while the connection was opened.
+    /// The endpoint takes no new requests, or it was removed or moved while the connection was being opened.
     #[error("the endpoint takes no new requests")]
     NotActive,
-    /// No connection was established in time.
-    #[error("no connection in time")]
+    /// No connection was established within the connect timeout.
+    #[error("no connection was established within the connect timeout")]
     ConnectTimedOut,
-    /// The connection failed.
-    #[error("the connection failed")]
+    /// The connection could not be established.
+    #[error("could not connect to the endpoint")]
     ConnectFailed(#[source] io::Error),
-    /// This process may hold no more descriptors.
-    #[error("no descriptor is free")]
+    /// No file descriptor is available to this process.
+    #[error("no file descriptor is available")]
     NoDescriptor,
 }
 
-/// A connection that no request is open on.
+/// A connection without an open request.
 pub(super) struct IdleConnection {
     connection: HttpConnection,
     idle_since: Instant,
 }
 
-/// The connections of one endpoint, as long as they lead to it: with another address or start it gets another pool,
-/// and what was opened for the old one is not kept.
+/// The idle connections to one endpoint with a certain address and start time.
+///
+/// When the endpoint's address or start time changes, it gets a new pool, and connections opened for the old
+/// pool are not reused.
 pub(super) struct EndpointPool {
     address: SocketAddr,
+    /// When the endpoint last started, in milliseconds of Unix time; 0 if that was long ago.
     started_at_ms: u64,
     /// The `Host` header of requests on these connections.
     pub(super) host: HeaderValue,
-    /// The one idle for longest first.
+    /// The idle connections, ordered by descending idle time.
     idle: RefCell<Vec<IdleConnection>>,
 }
 
@@ -67,6 +73,7 @@
         }
     }
 
+    /// Returns whether the connections of this pool lead to `endpoint` at its listed address and start time.
     fn leads_to(&self, endpoint: &Endpoint) -> bool {
         self.address == endpoint.address && self.started_at_ms == endpoint.attributes.started_at_ms
     }
@@ -75,57 +82,64 @@
         self.idle.borrow_mut().clear();
     }
 
+    /// Returns since when the oldest idle connection has been idle; `None` if there is none.
     fn oldest_idle_since(&self) -> Option<Instant> {
         self.idle.borrow().first().map(|idle| idle.idle_since)
     }
 }
 
-/// A connection in use, and the pool that it was opened for.
+/// A connection in use and the pool that it was opened for.
 pub(super) struct PooledConnection {
     pub(super) connection: HttpConnection,
     pub(super) pool: Rc<EndpointPool>,
-    /// How long it stood idle; none if it is new.
+    /// How long the connection was idle before this use; `None` for a new connection.
     pub(super) idle_for: Option<Duration>,
 }
 
 /// The connection pools of all endpoints.
 pub(super) struct ConnectionPools {
-    /// Of those endpoints only that have an idle connection or an attempt in flight, or had one when last swept.
+    /// Contains only endpoints that have an idle connection or an attempt in flight, or had one at the last
+    /// sweep.
     by_endpoint: RefCell<BTreeMap<EndpointId, Rc<EndpointPool>>>,
     budget: Rc<DescriptorBudget>,
+    /// The idle time at which a connection is closed.
     max_idle: Duration,
     reuse: ReuseLimit,
 }
 
 impl ConnectionPools {
-    /// No connections yet. Idle ones are kept for at most `max_idle`.
+    /// Creates pools without connections. Idle connections are kept for less than `max_idle`.
     pub(super) fn new(budget: Rc<DescriptorBudget>, max_idle: Duration) -> Self {
         ConnectionPools { by_endpoint: RefCell::default(), budget, max_idle, reuse: ReuseLimit::new() }
     }
 
-    /// Closes idle connections that are of no use any more, and drops empty pools. To be called every second.
+    /// Closes idle connections that must not be reused and drops empty pools. Must be called once a second,
+    /// because the reuse limit decays with each call.
     pub(super) fn sweep(&self) {
         self.reuse.decay();
         self.by_endpoint.borrow_mut().retain(|_, pool| {
             let mut idle = pool.idle.borrow_mut();
             idle.retain(|connection| self.is_usable(connection));
-            // An attempt in flight returns its connection to the pool that it knows.
+            // An attempt in flight holds a reference to the pool and returns its connection there.
             !idle.is_empty() || Rc::strong_count(pool) > 1
         });
     }
 
-    /// A request ended on a connection that was idle for this long (none: a new one). `broke`: the connection broke
-    /// before any byte of the response.
+    /// Records the end of a request for the reuse limit. `idle_for` is how long its connection had been idle
+    /// (`None` for a new connection); `broke` is whether the connection broke before any byte of the response
+    /// arrived.
     pub(super) fn request_ended(&self, idle_for: Option<Duration>, broke: bool) {
         self.reuse.request_ended(idle_for, broke);
     }
 
+    /// Returns whether an idle connection may be used for another request.
     fn is_usable(&self, idle: &IdleConnection) -> bool {
         let idle_for = idle.idle_since.elapsed();
         idle_for < self.max_idle && self.reuse.allows(idle_for) && idle.connection.is_open()
     }
 
-    /// Keeps no connection to these endpoints, also none that is in use.
+    /// Drops the pools of these endpoints. This closes their idle connections; connections in use are not
+    /// returned to a pool afterwards.
     pub(super) fn discard(&self, endpoints: &[EndpointId]) {
         let mut pools = self.by_endpoint.borrow_mut();
         for endpoint in endpoints {
@@ -144,11 +158,13 @@
         }
     }
 
-    /// Keeps only connections that lead to known endpoints, and idle ones only to those that take new requests.
+    /// Drops the pools whose connections do not lead to a known endpoint any more, and closes the idle
+    /// connections to endpoints that take no new requests.
     pub(super) fn retain_known(&self, known: &KnownEndpoints) {
         self.by_endpoint.borrow_mut().retain(|&id, pool| {
             let endpoint = known.get(id).filter(|endpoint| pool.leads_to(endpoint));
-            // A new endpoint may stand at the address of one that was removed. Connections lead to the old one.
+            // A new endpoint may be listed at the address of a removed one. The connections of this pool lead
+            // to the removed one.
             let is_kept = endpoint.is_some() && !known.address_is_shared(id, pool.address);
             if !is_kept || !endpoint.is_some_and(Endpoint::is_active) {
                 pool.close_idle();
@@ -157,7 +173,8 @@
         });
     }
 
-    /// Closes the connection that has been idle for longest, to free its descriptor; false if there is none.
+    /// Closes the connection that has been idle for longest, to free its descriptor. Returns `false` if no
+    /// connection is idle.
     pub(super) fn close_oldest_idle(&self) -> bool {
         let pools = self.by_endpoint.borrow();
         let with_idle = pools.values().filter_map(|pool| Some((pool.oldest_idle_since()?, pool)));
@@ -166,19 +183,20 @@
         true
     }
 
-    /// The pool of this endpoint.
+    /// Returns the pool of the endpoint, and creates it if there is none.
     pub(super) fn pool_of(&self, id: EndpointId, endpoint: &Endpoint) -> Rc<EndpointPool> {
         let new_pool = || Rc::new(EndpointPool::new(endpoint.address, endpoint.attributes.started_at_ms));
         self.by_endpoint.borrow_mut().entry(id).or_insert_with(new_pool).clone()
     }
 
-    /// Whether this is still the pool of the endpoint.
+    /// Returns whether `pool` is the current pool of the endpoint.
     pub(super) fn is_pool_of(&self, id: EndpointId, pool: &Rc<EndpointPool>) -> bool {
         self.by_endpoint.borrow().get(&id).is_some_and(|current| Rc::ptr_eq(current, pool))
     }
 
-    /// Takes the connection used last of those that have been idle for long enough and are of use; others on the way
-    /// to it are closed.
+    /// Takes a connection for reuse: the most recently used one that has been idle for
+    /// [`MIN_IDLE_BEFORE_REUSE`] and is usable. Closes the unusable connections that it encounters. Returns
+    /// `None` if no connection can be reused.
     pub(super) fn take_idle(&self, pool: &Rc<EndpointPool>) -> Option<PooledConnection> {
         let mut idle = pool.idle.borrow_mut();
         let may_be_reused =
@@ -196,7 +214,10 @@
         None
     }
 
-    /// Opens a connection within the budget, or fails at this time-out.
+    /// Opens a connection within the descriptor budget.
+    ///
+    /// # Errors
+    /// If no descriptor is available, or the connection is not established within `connect_timeout`.
     pub(super) async fn connect(
         &self,
         pool: &Rc<EndpointPool>,
@@ -215,20 +236,20 @@
         }
     }
 
-    /// A permit for one more connection. With none free, idle connections are closed first.
+    /// Waits for a permit for one more connection. If none is free, idle connections are closed to free one.
     async fn acquire_permit(&self) -> DescriptorPermit {
         let close_one = || self.close_oldest_idle() || self.budget.close_idle_downstream();
         self.budget.acquire_or_evict(|| self.budget.try_acquire_upstream(), close_one).await
     }
 
-    /// Keeps a connection after a response that was read to its end.
+    /// Adds a connection to its pool after a response was read completely.
     pub(super) fn keep(&self, connection: HttpConnection, pool: &EndpointPool) {
         pool.idle.borrow_mut().push(IdleConnection { connection, idle_since: Instant::now() });
         self.budget.notify_waiters();
     }
 }
 
-/// Whether a connection failed because this process or the machine may hold no more descriptors.
+/// Returns whether connecting failed because the process or the machine has no free file descriptor.
 fn is_out_of_descriptors(error: &io::Error) -> bool {
     const ENFILE: i32 = 23;
     const EMFILE: i32 = 24;
--- a/src/net/upstream/probe.rs
+++ b/src/net/upstream/probe.rs
@@ -1,4 +1,4 @@
-//! Probes: whether an endpoint is alive.
+//! Probes, which check whether an endpoint is alive.
 
 use std::time::Duration;
 
@@ -12,11 +12,12 @@
 use crate::net::upstream::pool::PooledConnection;
 use crate::net::upstream::upstreams::{ConnectionChoice, Upstreams};
 
-/// How long a probe may take.
+/// The maximum time of a probe's request and response. Opening the connection may take at most a quarter of
+/// it.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl Upstreams {
-    /// Asks an endpoint whether it is alive.
+    /// Sends a probe to an endpoint and returns its outcome.
     pub async fn probe(&self, endpoint: EndpointId) -> Outcome {
         let Ok(pooled) = self.acquire(endpoint, ConnectionChoice::IdleOrNew, PROBE_TIMEOUT).await else {
             return Outcome::ConnectFailed;
--- a/src/net/upstream/request.rs
+++ b/src/net/upstream/request.rs
@@ -1,4 +1,4 @@
-//! The requests that are sent to endpoints.
+//! The requests that the node sends to endpoints.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -7,25 +7,26 @@
 
 use crate::protocol::headers::{DEADLINE, IDEMPOTENCY_KEY, REQUEST_ID};
 
-/// Most bytes in the body of a request or a response.
+/// The maximum length of the body of a request or a response, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// What of a client's request is sent to an endpoint.
+/// The parts of a client's request that are forwarded to an endpoint.
 pub struct ForwardedRequest {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// The path and the query.
     pub uri: Uri,
-    /// `X-Request-Id`.
+    /// The value of the header `X-Request-Id`.
     pub request_id: HeaderValue,
-    /// `Idempotency-Key`.
+    /// The value of the header `Idempotency-Key`; `None` if the client sent none.
     pub idempotency_key: Option<HeaderValue>,
-    /// The body.
+    /// The body; empty if the request has none.
     pub body: Bytes,
 }
 
 impl ForwardedRequest {
-    /// The message of one attempt: to this host, with this much time left.
+    /// Builds the HTTP request of one attempt. `host` is the value of the `Host` header, and `time_left_ms`
+    /// is the time until the attempt's deadline, in milliseconds.
     pub(super) fn message(&self, host: HeaderValue, time_left_ms: u64) -> Request<Full<Bytes>> {
         let mut message = Request::new(Full::new(self.body.clone()));
         *message.method_mut() = self.method.clone();
--- a/src/net/upstream/reuse.rs
+++ b/src/net/upstream/reuse.rs
@@ -1,21 +1,25 @@
-//! How long a connection may have been idle and still be used again, learned from how requests on it end.
+//! Limits the idle time after which a connection is reused. The limit is learned from how requests on reused
+//! connections end.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 
-/// Idle ages are counted by half octaves, from under a millisecond to about a minute.
-const AGE_STEPS: usize = 32;
-/// What a new connection costs, its handshake and the endpoint's work for it, in connection breaks.
+/// The number of buckets for idle times. The boundaries of the buckets are half octaves (a factor of √2
+/// apart), from under a millisecond to about a minute.
+const IDLE_TIME_BUCKETS: usize = 32;
+/// The cost of a new connection (its handshake and the endpoint's work for it), in connection breaks.
 const NEW_CONNECTION_COST: f64 = 0.05;
-/// Breaks saved beyond the cost of new connections from which on older connections are not used.
+/// A limit is set only if it avoids more breaks than this, beyond the cost of the new connections.
 const MIN_SAVED_BREAKS: f64 = 2.0;
-/// What remains of a count a second later.
+/// The factor by which every count is multiplied once a second.
 const DECAY_PER_SECOND: f64 = 0.92;
 
-/// Requests that ended on connections of one age, and those of them that a break ended before the first byte of a response.
+/// Decaying counts of requests that ended on connections of one idle time.
 #[derive(Clone, Copy, Default)]
 struct EndedRequests {
+    /// All requests.
     total: f64,
+    /// The requests whose connection broke before the first byte of the response.
     broken: f64,
 }
 
@@ -31,15 +35,19 @@
     }
 }
 
-/// The age up to which idle connections are used again.
+/// The idle time up to which connections are reused.
 ///
-/// Endpoints, or a middlebox before them, may drop idle connections long before they say so. That shows only once a
-/// request has been written, and one that may have run is lost. Where old connections break by chance for a while,
-/// each request pays for a new one until the counts have decayed.
+/// Endpoints or middleboxes in front of them may drop idle connections long before they announce it. The node
+/// notices this only after it has written a request, and a request that may have run and must not run twice
+/// fails. If connections with long idle times break by chance for a while, each request opens a new
+/// connection until the counts have decayed.
 pub struct ReuseLimit {
+    /// The counts for new connections.
     new_connections: Cell<EndedRequests>,
-    by_age: RefCell<[EndedRequests; AGE_STEPS]>,
-    /// Connections of this age step and older are not used again.
+    /// The counts for reused connections, by the bucket of their idle time.
+    by_idle_time: RefCell<[EndedRequests; IDLE_TIME_BUCKETS]>,
+    /// The index of the first bucket whose connections are not reused; those of all later buckets are not reused
+    /// either. [`IDLE_TIME_BUCKETS`] if there is no limit.
     limit: Cell<usize>,
 }
 
@@ -50,25 +58,25 @@
 }
 
 impl ReuseLimit {
-    /// Nothing is known yet: connections of any age are used again.
+    /// Creates a limit without any counts. It allows connections of any idle time.
     pub fn new() -> Self {
         ReuseLimit {
             new_connections: Cell::default(),
-            by_age: RefCell::default(),
-            limit: Cell::new(AGE_STEPS),
+            by_idle_time: RefCell::default(),
+            limit: Cell::new(IDLE_TIME_BUCKETS),
         }
     }
 
-    /// Whether a connection that has been idle for this long should be used again.
+    /// Returns whether a connection that has been idle for `idle_for` should be reused.
     pub fn allows(&self, idle_for: Duration) -> bool {
-        age_step(idle_for) < self.limit.get()
+        idle_time_bucket(idle_for) < self.limit.get()
     }
 
-    /// A request ended on a connection of this idle age (none: a new one). `broke`: the connection broke before any
-    /// byte of the response.
+    /// Records the end of a request. `idle_for` is how long its connection had been idle (`None` for a new
+    /// connection); `broke` is whether the connection broke before any byte of the response arrived.
     pub fn request_ended(&self, idle_for: Option<Duration>, broke: bool) {
         match idle_for {
-            Some(idle_for) => self.by_age.borrow_mut()[age_step(idle_for)].add(broke),
+            Some(idle_for) => self.by_idle_time.borrow_mut()[idle_time_bucket(idle_for)].add(broke),
             None => {
                 let mut ended = self.new_connections.get();
                 ended.add(broke);
@@ -80,39 +88,40 @@
         }
     }
 
-    /// A second has passed. Ages that are not used any more are not counted any more, either: as their counts decay
-    /// they are tried again.
+    /// Decays the counts. Must be called once a second. Connections beyond the limit are not reused, so that
+    /// their counts do not grow: once these have decayed, such connections are tried again.
     pub fn decay(&self) {
         let mut ended = self.new_connections.get();
         ended.decay();
         self.new_connections.set(ended);
-        for ended in self.by_age.borrow_mut().iter_mut() {
+        for ended in self.by_idle_time.borrow_mut().iter_mut() {
             ended.decay();
         }
         self.update_limit();
     }
 
-    /// Sets the limit to the age from which on new connections save the most breaks beyond their cost; to none if
-    /// they save too few.
+    /// Sets the limit to the idle time from which on new connections avoid the most breaks beyond their cost.
+    /// Removes the limit if they avoid no more than [`MIN_SAVED_BREAKS`].
     fn update_limit(&self) {
         let new_connections = self.new_connections.get();
         let cost = new_connections.broken / (new_connections.total + 1.0) + NEW_CONNECTION_COST;
         let mut saved = 0.0;
         let mut most_saved = MIN_SAVED_BREAKS;
-        let mut limit = AGE_STEPS;
-        for (step, ended) in self.by_age.borrow().iter().enumerate().rev() {
+        let mut limit = IDLE_TIME_BUCKETS;
+        for (bucket, ended) in self.by_idle_time.borrow().iter().enumerate().rev() {
             saved += ended.broken - cost * ended.total;
             if saved > most_saved {
                 most_saved = saved;
-                limit = step;
+                limit = bucket;
             }
         }
         self.limit.set(limit);
     }
 }
 
-fn age_step(idle_for: Duration) -> usize {
+/// Returns the index of the bucket for an idle time.
+fn idle_time_bucket(idle_for: Duration) -> usize {
     let idle_ms = (idle_for.as_secs_f64() * 1e3).max(1.0);
-    let step = (2.0 * idle_ms.log2()) as usize;
-    step.min(AGE_STEPS - 1)
+    let bucket = (2.0 * idle_ms.log2()) as usize;
+    bucket.min(IDLE_TIME_BUCKETS - 1)
 }
--- a/src/net/upstream/upstreams.rs
+++ b/src/net/upstream/upstreams.rs
@@ -1,4 +1,4 @@
-//! All endpoints that discovery names, and the connections to them.
+//! The endpoints on the endpoint list and the connections to them.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -18,21 +18,21 @@
 use crate::net::upstream::known_endpoints::KnownEndpoints;
 use crate::net::upstream::pool::{AcquireError, ConnectionPools, EndpointPool, PooledConnection};
 
-/// A connection has at least this long to be established.
+/// The lower bound of the connect timeout that is derived from the time left for a request.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(60);
-/// How often idle connections are swept.
+/// How often idle connections are checked and closed if they must not be reused.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Which connections a request may be sent on.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ConnectionChoice {
-    /// An idle one, or else a new one.
+    /// An idle connection, or a new one if none can be reused.
     IdleOrNew,
-    /// A new one.
+    /// A new connection.
     NewOnly,
 }
 
-/// All endpoints that discovery names.
+/// The endpoints on the endpoint list and the connections to them.
 pub struct Upstreams {
     known: RefCell<KnownEndpoints>,
     pub(super) pools: ConnectionPools,
@@ -40,10 +40,12 @@
 }
 
 impl Upstreams {
-    /// No endpoints yet. Both times are in microseconds.
+    /// Creates the upstream side without endpoints, and starts the task that sweeps idle connections. Both
+    /// times are in microseconds.
     ///
-    /// Idle connections are closed at half of `endpoint_idle_timeout`, after which the endpoint may do so: a request
-    /// that crosses the endpoint's close could not be distinguished from one that ran.
+    /// An endpoint may close a connection that has been idle for `endpoint_idle_timeout`; the node closes it
+    /// at half of that time. If a request crossed the endpoint's close, the node could not distinguish it
+    /// from a request that ran.
     pub fn new(
         budget: Rc<DescriptorBudget>,
         connect_timeout: Micros,
@@ -65,24 +67,29 @@
         upstreams
     }
 
-    /// Whether the endpoints known before a replacement can still be reached.
+    /// Returns whether the endpoint list is being replaced and the previous endpoints can still be reached.
     pub fn is_replacing_endpoints(&self) -> bool {
         self.known.borrow().previous.is_some()
     }
 
-    /// Closes the connection that has been idle for longest, to free its descriptor; false if there is none.
+    /// Closes the connection that has been idle for longest, to free its descriptor. Returns `false` if no
+    /// connection is idle.
     pub fn close_oldest_idle(&self) -> bool {
         self.pools.close_oldest_idle()
     }
 
-    /// A connection to an endpoint, for a request with this much time left.
+    /// Takes or opens a connection to an endpoint for a request with `time_left` until its deadline.
+    ///
+    /// # Errors
+    /// If the endpoint takes no new requests, or no connection could be established.
     pub(super) async fn acquire(
         &self,
         endpoint: EndpointId,
         choice: ConnectionChoice,
         time_left: Duration,
     ) -> Result<PooledConnection, AcquireError> {
-        // An endpoint whose machine has vanished must not take the time in which another could still be tried.
+        // Connecting to an endpoint whose machine is gone must not use up the time in which another endpoint
+        // can still be tried.
         let connect_timeout = self.connect_timeout.min((time_left / 4).max(MIN_CONNECT_TIMEOUT));
         let pool = self.pool_of_active(endpoint).ok_or(AcquireError::NotActive)?;
         if choice == ConnectionChoice::IdleOrNew {
@@ -91,7 +98,7 @@
             }
         }
         let connection = self.pools.connect(&pool, connect_timeout).await?;
-        // The list may have changed while the connection was opened.
+        // The endpoint list may have changed while the connection was being opened.
         if self.leads_to_active(endpoint, &pool) {
             Ok(connection)
         } else {
@@ -99,19 +106,20 @@
         }
     }
 
-    /// The pool of an endpoint that takes new requests.
+    /// Returns the pool of an endpoint; `None` if the endpoint takes no new requests.
     fn pool_of_active(&self, id: EndpointId) -> Option<Rc<EndpointPool>> {
         let known = self.known.borrow();
         let endpoint = known.get_active(id)?;
         Some(self.pools.pool_of(id, endpoint))
     }
 
-    /// Whether connections of this pool still lead to an endpoint that takes new requests.
+    /// Returns whether connections of `pool` lead to the endpoint and it takes new requests.
     fn leads_to_active(&self, id: EndpointId, pool: &Rc<EndpointPool>) -> bool {
         self.known.borrow().get_active(id).is_some() && self.pools.is_pool_of(id, pool)
     }
 
-    /// Keeps a connection for further requests, if it still leads to an endpoint that takes them.
+    /// Returns a connection to its pool if it still leads to an endpoint that takes new requests. Closes it
+    /// otherwise.
     pub(super) fn keep(&self, id: EndpointId, connection: HttpConnection, pool: &Rc<EndpointPool>) {
         if self.leads_to_active(id, pool) {
             self.pools.keep(connection, pool);
