--- a/tests/node_counter_waits.rs
+++ b/tests/node_counter_waits.rs
@@ -1,4 +1,7 @@
-//! Requests of a plan with a quota are served in time while the counter service fails, whichever way it does.
+//! Requests of a plan with a quota are served in time while the counter service fails.
+//!
+//! Guards against requests that wait for a failed counter service until their deadline, and against a node
+//! that opens connections to it without limit. The tests let the service fail in different ways.
 
 mod fakes;
 
@@ -12,64 +15,68 @@
 use fakes::{active, paid_request, unreachable_address, FakeEndpoint, NodeConfiguration};
 use socket2::SockRef;
 
-/// Time-out of a counter call, in microseconds.
+/// The timeout of a counter call, in microseconds.
 const COUNTER_TIMEOUT: u64 = 80_000;
-/// Longer than the time-out.
-const LATE: Duration = Duration::from_millis(160);
-/// Requests one after another, no more than the node's even share of a burst holds.
-const REQUESTS: u32 = 3;
-/// A request waits for a call and for the reread that follows a reply which was lost.
-const MAX_CALLS_OF_REQUEST: u32 = 2;
-
-/// What a failing service does with a connection.
+/// The delay of a late reply, which is longer than the timeout.
+const LATE_REPLY_DELAY: Duration = Duration::from_millis(160);
+/// The number of consecutive requests, which is covered by the node's even share of a burst.
+const REQUEST_COUNT: u32 = 3;
+/// The maximum number of calls that a request waits for: a call, and the reread of the counter after a lost
+/// reply.
+const MAX_CALLS_PER_REQUEST: u32 = 2;
+
+/// Handles a connection in the way in which the counter service fails.
 type Failure = fn(TcpStream);
 
-/// Has the socket reset the connection as it closes.
-fn reset(stream: &TcpStream) {
-    SockRef::from(stream).set_linger(Some(Duration::ZERO)).expect("an open connection");
+/// Makes the socket reset the connection when it is closed.
+fn set_reset_on_close(stream: &TcpStream) {
+    SockRef::from(stream)
+        .set_linger(Some(Duration::ZERO))
+        .expect("setting SO_LINGER on an open socket should succeed");
 }
 
-/// Waits for a call and answers it with these bytes, again and again until the connection ends.
-fn answer_each_call(mut stream: TcpStream, answer: &[u8]) {
+/// Replies to every call with the bytes of `reply`, until the connection ends.
+fn reply_to_each_call(mut stream: TcpStream, reply: &[u8]) {
     let mut bytes = [0; 4096];
     while stream.read(&mut bytes).is_ok_and(|count| count > 0) {
-        // The node may have closed.
-        let _ = stream.write_all(answer);
+        // Writing fails if the node has closed the connection.
+        let _ = stream.write_all(reply);
     }
 }
 
-fn reset_at_once(stream: TcpStream) {
-    reset(&stream);
+fn reset_on_accept(stream: TcpStream) {
+    set_reset_on_close(&stream);
 }
 
-fn reset_after_the_call(mut stream: TcpStream) {
+fn reset_after_call(mut stream: TcpStream) {
     let _ = stream.read(&mut [0; 4096]);
-    reset(&stream);
+    set_reset_on_close(&stream);
 }
 
-fn close_after_the_call(mut stream: TcpStream) {
+fn close_after_call(mut stream: TcpStream) {
     let _ = stream.read(&mut [0; 4096]);
 }
 
 fn reply_late(mut stream: TcpStream) {
     let mut bytes = [0; 4096];
     while stream.read(&mut bytes).is_ok_and(|count| count > 0) {
-        sleep(LATE);
+        sleep(LATE_REPLY_DELAY);
         let _ = stream.write_all(b"$1\r\n1\r\n");
     }
 }
 
-/// A service that fails.
+/// A counter service that fails.
 struct FailingCounter {
     address: SocketAddr,
+    /// The number of connections that the service has accepted.
     connections: Arc<AtomicU32>,
 }
 
 impl FailingCounter {
-    /// Starts a service that does this with every connection.
+    /// Starts a service that handles every connection with `failure`.
     fn start(failure: Failure) -> FailingCounter {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("binding to a free port should succeed");
+        let address = listener.local_addr().expect("a bound listener should have an address");
         let connections = Arc::<AtomicU32>::default();
         let accepted = connections.clone();
         spawn(move || {
@@ -82,12 +89,14 @@
     }
 }
 
-fn assert_served_without_the_counter(name: &str, counter: SocketAddr) {
+/// Asserts that requests of a plan with a quota are served while the counter service at `counter` fails.
+/// `name` describes the failure; it is also the body of the responses.
+fn assert_served_without_counter(name: &str, counter: SocketAddr) {
     let endpoint = FakeEndpoint::start();
     let configuration = NodeConfiguration::new(&[active("s-1", endpoint.address)]);
     let edge = configuration.counter(counter).counter_timeout(COUNTER_TIMEOUT).start();
     let mut client = edge.connect();
-    for number in 0..REQUESTS {
+    for number in 0..REQUEST_COUNT {
         client.send(&paid_request("post", &format!("p-{number}")));
         endpoint.next_request().respond_ok(name);
         client.assert_ok(name);
@@ -95,49 +104,58 @@
 }
 
 #[test]
-fn requests_are_served_while_the_counter_service_is_refused() {
-    assert_served_without_the_counter("refused", unreachable_address());
+fn requests_are_served_while_the_counter_service_refuses_connections() {
+    assert_served_without_counter("refused", unreachable_address());
 }
 
 #[test]
 fn requests_are_served_while_each_connection_to_the_counter_service_breaks() {
     let failures: [(&str, Failure); 3] = [
-        ("reset as it is accepted", reset_at_once),
-        ("reset after the call", reset_after_the_call),
-        ("closed after the call", close_after_the_call),
+        ("reset on accept", reset_on_accept),
+        ("reset after the call", reset_after_call),
+        ("closed after the call", close_after_call),
     ];
     for (name, failure) in failures {
         let counter = FailingCounter::start(failure);
-        assert_served_without_the_counter(name, counter.address);
+        assert_served_without_counter(name, counter.address);
         let connections = counter.connections.load(Ordering::Relaxed);
-        assert!(connections <= REQUESTS * MAX_CALLS_OF_REQUEST, "{name}: {connections} connections");
+        assert!(
+            connections <= REQUEST_COUNT * MAX_CALLS_PER_REQUEST,
+            "{name}: expected at most one connection per call, got {connections}"
+        );
     }
 }
 
 #[test]
-fn requests_are_served_while_each_reply_of_the_counter_service_is_spoilt() {
+fn requests_are_served_while_each_reply_of_the_counter_service_is_an_error_or_malformed() {
     let failures: [(&str, Failure); 4] = [
-        ("a part of a reply", |stream| answer_each_call(stream, b"$5\r\n1")),
-        ("malformed", |stream| answer_each_call(stream, b"$3\r\nabc\r\n")),
-        ("busy", |stream| answer_each_call(stream, b"-BUSY\r\n")),
-        ("an error", |stream| answer_each_call(stream, b"-ERR no such call\r\n")),
+        ("incomplete", |stream| reply_to_each_call(stream, b"$5\r\n1")),
+        ("malformed", |stream| reply_to_each_call(stream, b"$3\r\nabc\r\n")),
+        ("busy", |stream| reply_to_each_call(stream, b"-BUSY\r\n")),
+        ("error", |stream| reply_to_each_call(stream, b"-ERR no such call\r\n")),
     ];
     for (name, failure) in failures {
         let counter = FailingCounter::start(failure);
-        assert_served_without_the_counter(name, counter.address);
+        assert_served_without_counter(name, counter.address);
         let connections = counter.connections.load(Ordering::Relaxed);
-        assert!(connections <= REQUESTS * MAX_CALLS_OF_REQUEST, "{name}: {connections} connections");
+        assert!(
+            connections <= REQUEST_COUNT * MAX_CALLS_PER_REQUEST,
+            "{name}: expected at most one connection per call, got {connections}"
+        );
     }
 }
 
 #[test]
 fn requests_are_served_while_the_counter_service_is_silent_or_late() {
     let failures: [(&str, Failure); 2] =
-        [("silent", |stream| answer_each_call(stream, b"")), ("late", reply_late)];
+        [("silent", |stream| reply_to_each_call(stream, b"")), ("late", reply_late)];
     for (name, failure) in failures {
         let counter = FailingCounter::start(failure);
-        assert_served_without_the_counter(name, counter.address);
+        assert_served_without_counter(name, counter.address);
         let connections = counter.connections.load(Ordering::Relaxed);
-        assert!(connections <= REQUESTS * MAX_CALLS_OF_REQUEST, "{name}: {connections} connections");
+        assert!(
+            connections <= REQUEST_COUNT * MAX_CALLS_PER_REQUEST,
+            "{name}: expected at most one connection per call, got {connections}"
+        );
     }
 }
--- a/tests/node_forwarding.rs
+++ b/tests/node_forwarding.rs
@@ -1,4 +1,4 @@
-//! What the node forwards, what it returns, and when it responds by itself.
+//! Which requests and responses the node forwards, and when it responds without an endpoint.
 
 mod fakes;
 
@@ -20,9 +20,13 @@
         assert_eq!(received.request_id(), format!("id-{class}"));
         assert_eq!(received.message.header("idempotency-key"), (class == "slip").then_some("5c0f"));
         assert_eq!(received.message.body, if class == "lookup" { &b""[..] } else { b"slip!" });
-        let deadline = received.message.header("x-deadline-ms").expect("a deadline");
-        let deadline_ms: u64 = deadline.parse().expect("an integer");
-        assert!(deadline_ms > 0 && deadline_ms < 40_000, "{deadline_ms}");
+        let deadline =
+            received.message.header("x-deadline-ms").expect("the forwarded request should have a deadline");
+        let deadline_ms: u64 = deadline.parse().expect("the deadline should be an integer");
+        assert!(
+            deadline_ms > 0 && deadline_ms < 40_000,
+            "expected a deadline of 1 to 39999 ms, got {deadline_ms}"
+        );
         received.respond("200 OK", "X-Load: ?\r\n", "done");
         client.assert_ok("done");
     }
@@ -43,8 +47,12 @@
     let sent_at = Instant::now();
     client.send(&RequestSpec { deadline_ms: 16_000, ..request("post", "p-1") });
     let response = client.response();
-    assert!(response.is_rejected(), "{}", response.first);
-    assert!(sent_at.elapsed() < Duration::from_secs(12), "{:?}", sent_at.elapsed());
+    assert!(response.is_rejected(), "expected a rejection, got {}", response.first);
+    assert!(
+        sent_at.elapsed() < Duration::from_secs(12),
+        "expected a response within 12 s, got one after {:?}",
+        sent_at.elapsed()
+    );
 }
 
 #[test]
@@ -54,26 +62,31 @@
     client.send(&RequestSpec { deadline_ms: 1_500, ..request("post", "p-1") });
     let _unanswered = endpoint.next_request();
     assert_failed(&client.response());
-    assert!(sent_at.elapsed() >= Duration::from_secs(1), "failed early: {:?}", sent_at.elapsed());
-    // The attempt was cancelled by closing its connection.
+    assert!(
+        sent_at.elapsed() >= Duration::from_secs(1),
+        "expected a failure after 1 s or later, got one after {:?}",
+        sent_at.elapsed()
+    );
+    // The node cancels the attempt by closing its connection.
     endpoint.assert_connection_ended();
 }
 
 #[test]
-fn disconnected_client_leaves_nothing_behind() {
+fn request_of_disconnected_client_is_forgotten_when_its_attempt_ends() {
     let OneEndpoint { endpoint, edge, mut client } = one_endpoint();
     client.send(&request("post", "p-1"));
     let received = endpoint.next_request();
-    // The same id while the first request is pending would run twice.
+    // A second request with the same id is refused while the first one is open, since it would run twice.
     let mut other_client = edge.connect();
     other_client.send(&request("post", "p-1"));
     assert_failed(&other_client.response());
     drop(client);
     received.respond_ok("for nobody");
-    // Once the attempt has ended the id is free again, so the node has forgotten the request.
+    // When the attempt has ended, the id can be used again. This shows that the node has forgotten the
+    // request.
     let until = Instant::now() + TEST_TIMEOUT;
     let again = loop {
-        assert!(Instant::now() < until, "the id is still in use");
+        assert!(Instant::now() < until, "expected the id to be free in time, but it is still in use");
         other_client.send(&request("post", "p-1"));
         if let Some(again) = request_or_conflict(&endpoint, &mut other_client) {
             break again;
@@ -83,15 +96,16 @@
     other_client.assert_ok("anew");
 }
 
-/// Waits for the request at the endpoint; none if the client was answered that the id is in use. On a busy machine a
-/// request may take any time to arrive, so that none has arrived proves nothing.
+/// Waits for the request to arrive at the endpoint and returns it. Returns `None` if the client gets the
+/// response that the id is in use. The function waits for one of the two, since a request may take any time
+/// to arrive on a busy machine.
 fn request_or_conflict(endpoint: &FakeEndpoint, client: &mut Client) -> Option<ReceivedRequest> {
     let until = Instant::now() + TEST_TIMEOUT;
     while !client.has_response() {
         if let Some(received) = endpoint.poll_request() {
             return Some(received);
         }
-        assert!(Instant::now() < until, "neither a request nor a response");
+        assert!(Instant::now() < until, "expected a request or a response, got neither in time");
     }
     assert_eq!(client.response().status(), 409);
     None
--- a/tests/node_retries.rs
+++ b/tests/node_retries.rs
@@ -1,4 +1,4 @@
-//! Which attempts the node retries, and at which endpoint.
+//! Which attempts the node retries, and at which endpoints.
 
 mod fakes;
 
@@ -10,11 +10,11 @@
     unreachable_address, FakeEndpoint, NodeConfiguration, OneEndpoint, ReceivedRequest, TwoEndpoints,
 };
 
-/// Longer than the first ejection of an endpoint.
-const FIRST_EJECTION_IS_OVER: Duration = Duration::from_millis(500);
+/// A time after which the first ejection of an endpoint has ended.
+const FIRST_EJECTION_WAIT: Duration = Duration::from_millis(500);
 
-/// What an endpoint does with a request.
-type Ending = fn(ReceivedRequest);
+/// Handles a request at an endpoint in a certain way.
+type EndpointBehavior = fn(ReceivedRequest);
 
 fn internal_error(received: ReceivedRequest) {
     received.respond("500 Internal Server Error", "", "");
@@ -22,25 +22,25 @@
 
 #[test]
 fn non_idempotent_request_that_may_have_run_is_neither_retried_nor_reported_as_rejected() {
-    let endings: [(&str, Ending); 6] = [
-        ("an error", internal_error),
-        ("503 without the header that says it did not run", |received| {
+    let failures: [(&str, EndpointBehavior); 6] = [
+        ("error", internal_error),
+        ("503 without X-Not-Run", |received| {
             received.respond("503 Service Unavailable", "", "");
         }),
-        ("a close after the last byte", |received| received.close()),
-        ("no HTTP", |received| received.send_raw_and_close(b"\x00\xffgarbage\r\n\r\n")),
-        ("an incomplete response", |received| {
+        ("connection closed after the request", |received| received.close()),
+        ("not HTTP", |received| received.send_raw_and_close(b"\x00\xffgarbage\r\n\r\n")),
+        ("incomplete response", |received| {
             received.send_raw_and_close(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
         }),
-        ("a response that is too long", |received| received.respond_ok(&"x".repeat(64 * 1024 + 1))),
+        ("response that is too long", |received| received.respond_ok(&"x".repeat(64 * 1024 + 1))),
     ];
-    for (name, ending) in endings {
+    for (name, fail) in failures {
         let TwoEndpoints { first, second, edge: _edge, mut client } = two_endpoints("a");
         client.send(&request("post", "p-1"));
-        ending(next_request_at_any(&[&first, &second]).request);
+        fail(next_request_at_any(&[&first, &second]).request);
         let response = client.response();
-        assert_ne!(response.status(), 200, "{name}: {}", response.first);
-        assert!(!response.is_rejected(), "{name}: {}", response.first);
+        assert_ne!(response.status(), 200, "{name}: expected a failure, got {}", response.first);
+        assert!(!response.is_rejected(), "{name}: expected no rejection, got {}", response.first);
         first.assert_no_request();
         second.assert_no_request();
     }
@@ -48,13 +48,13 @@
 
 #[test]
 fn safe_request_is_retried_at_another_endpoint() {
-    let endings: [Ending; 3] =
+    let failures: [EndpointBehavior; 3] =
         [internal_error, |received| received.close(), |received| received.send_raw_and_close(b"?\r\n\r\n")];
-    for ending in endings {
+    for fail in failures {
         let TwoEndpoints { first, second, edge: _edge, mut client } = two_endpoints("a");
         client.send(&request("lookup", "l-1"));
         let attempt = next_request_at_any(&[&first, &second]);
-        ending(attempt.request);
+        fail(attempt.request);
         let retry = next_request_at_any(&[&first, &second]);
         assert_ne!(attempt.endpoint, retry.endpoint);
         retry.request.respond_ok("again");
@@ -89,7 +89,8 @@
 
 #[test]
 fn keyed_request_that_may_have_run_is_retried_only_in_its_deduplication_scope() {
-    // Two zones of one endpoint each: after the error only the same zone will do.
+    // The deduplication scope is the zone, and each of the two zones has one endpoint. After the error the
+    // node may retry the request only in the same zone.
     let TwoEndpoints { first, second, edge: _edge, mut client } = two_endpoints("b");
     client.send(&request("slip", "k-1"));
     let attempt = next_request_at_any(&[&first, &second]);
@@ -107,7 +108,7 @@
     let mut client = edge.connect();
     client.send(&request("slip", "k-2"));
     let received = endpoint.next_request();
-    // Longer than the window, which is 1 ms.
+    // The deduplication window, which is 1 ms, ends during this time.
     sleep(Duration::from_millis(50));
     internal_error(received);
     assert_failed(&client.response());
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn only_endpoint_stays_in_use_although_its_connections_are_reset() {
+fn only_endpoint_stays_in_use_after_its_connections_are_reset() {
     let OneEndpoint { endpoint, edge: _edge, mut client } = one_endpoint();
     for number in 0..5 {
         client.send(&request("lookup", &format!("l-{number}")));
@@ -126,11 +127,13 @@
     client.send(&request("post", "p-1"));
     endpoint.next_request().close();
     assert_failed(&client.response());
-    // With no other endpoint it gets the request whether or not it is trusted.
-    sleep(FIRST_EJECTION_IS_OVER);
+    // Without another endpoint it gets the request even if it is still suspected to have failed.
+    sleep(FIRST_EJECTION_WAIT);
     assert_served_by(&endpoint, &mut client, &request("post", "p-2"));
 }
 
+/// Guards against load shedding that rejects requests because of others that the endpoint never responds to:
+/// they stay open for long, but the endpoint serves further requests quickly.
 #[test]
 fn requests_that_are_never_answered_do_not_count_as_load() {
     let endpoint = FakeEndpoint::start();
@@ -151,13 +154,16 @@
         client.send(&request("lookup", &format!("l-{number}")));
         while !client.has_response() {
             if let Some(received) = endpoint.poll_request() {
-                // How long the endpoint works on a request.
+                // The time that the endpoint takes to process a request.
                 sleep(Duration::from_millis(100));
                 received.respond_ok("ok");
             }
         }
         statuses.push(client.response().status());
     }
-    assert!(statuses.iter().all(|&status| status == 200), "rejected though it is served: {statuses:?}");
+    assert!(
+        statuses.iter().all(|&status| status == 200),
+        "expected status 200 for all requests, got {statuses:?}"
+    );
     drop(unanswered);
 }
--- a/tests/node_upstream_connections.rs
+++ b/tests/node_upstream_connections.rs
@@ -1,4 +1,4 @@
-//! Which connections to endpoints the node uses again, and what it makes of malformed responses.
+//! Which connections to endpoints the node reuses, and how it handles malformed responses.
 
 mod fakes;
 
@@ -8,18 +8,18 @@
 use fakes::{assert_failed, assert_served_by, one_endpoint, request, OneEndpoint};
 
 #[test]
-fn idle_connection_that_the_endpoint_has_closed_costs_no_request() {
+fn no_request_fails_when_the_endpoint_has_closed_an_idle_connection() {
     let OneEndpoint { endpoint, edge: _edge, mut client } = one_endpoint();
     for number in 0..3 {
         assert_served_by(&endpoint, &mut client, &request("post", &format!("p-{number}")));
         endpoint.close_connections();
-        // The endpoint's side has ended, so its close is on the way before the next request is.
+        // The endpoint's side has ended, so its close was sent before the next request.
         endpoint.assert_connection_ended();
     }
 }
 
 #[test]
-fn connections_that_are_reset_after_idle_time_are_not_used_again() {
+fn idle_connections_are_not_reused_after_several_have_been_reset() {
     let OneEndpoint { endpoint, edge: _edge, mut client } = one_endpoint();
     let mut resets = 0;
     for number in 0..20 {
@@ -27,7 +27,7 @@
         client.send(&request("lookup", &format!("l-{number}")));
         let mut received = endpoint.next_request();
         if number > 0 && endpoint.connection_count() > connections_before {
-            assert!(resets > 0, "a connection that was never reset was not used again");
+            assert!(resets > 0, "expected the connection to be reused before any reset, got a new one");
             return received.respond_ok("ok");
         }
         if number > 0 {
@@ -39,7 +39,7 @@
         client.assert_ok("ok");
         sleep(Duration::from_millis(100));
     }
-    panic!("{resets} requests were written to connections that are reset when idle");
+    panic!("expected a new connection after some resets, got none after {resets}");
 }
 
 #[test]
@@ -61,11 +61,11 @@
     for (number, bytes) in malformed.into_iter().enumerate() {
         client.send(&request("post", &format!("p-{number}")));
         let received = endpoint.next_request();
-        assert_eq!(received.request_id(), format!("p-{number}"), "the endpoint is out of use");
+        assert_eq!(received.request_id(), format!("p-{number}"), "expected the endpoint to stay in use");
         received.send_raw(bytes);
         assert_failed(&client.response());
     }
-    // Shorter than its length; nothing more comes, though the connection stays open.
+    // The body is shorter than its length, and no more bytes follow while the connection stays open.
     client.send(&request("lookup", "l-1"));
     endpoint.next_request().send_raw(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
     endpoint.next_request().respond_ok("again");
@@ -73,13 +73,13 @@
 }
 
 #[test]
-fn bytes_before_or_after_a_good_response_harm_neither_it_nor_the_next() {
+fn bytes_before_or_after_a_valid_response_affect_neither_it_nor_the_next() {
     let OneEndpoint { endpoint, edge: _edge, mut client } = one_endpoint();
-    let good = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
+    let valid = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
     let interim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
-    for (number, (before, after)) in [("", good), ("", "noise"), (interim, "")].into_iter().enumerate() {
+    for (number, (before, after)) in [("", valid), ("", "noise"), (interim, "")].into_iter().enumerate() {
         client.send(&request("post", &format!("p-{number}")));
-        endpoint.next_request().send_raw(format!("{before}{good}{after}").as_bytes());
+        endpoint.next_request().send_raw(format!("{before}{valid}{after}").as_bytes());
         assert_eq!(client.response().body, b"first");
         client.send(&request("post", &format!("q-{number}")));
         endpoint.next_request().respond_ok("second");
@@ -87,8 +87,10 @@
     }
 }
 
-/// A duplicate that comes some milliseconds after its response would meet the next request on the same connection,
-/// so a connection is not used again for 20 ms. Only rounds count in which the next request comes within that time.
+/// Guards against a duplicate of a response being matched to the next request: if the duplicate arrives some
+/// milliseconds after the response, the next request could already use the connection. The node therefore
+/// does not reuse a connection for 20 ms. Only rounds in which the next request arrives within that time
+/// count.
 #[test]
 fn late_duplicate_response_is_not_matched_to_the_next_request() {
     let pause_before_reuse = Duration::from_millis(20);
@@ -105,9 +107,13 @@
         assert_eq!(client.response().body, old_body.as_bytes());
         client.send(&request("post", &format!("q-{number}")));
         let next = endpoint.next_request();
-        // The connection has been idle for less than this.
+        // The connection has been idle for less than the elapsed time.
         if responded_at.elapsed() < pause_before_reuse {
-            assert_ne!(next.node_address(), first_connection, "a connection was used again at once");
+            assert_ne!(
+                next.node_address(),
+                first_connection,
+                "expected a new connection within 20 ms, got the previous one"
+            );
             rounds_in_time += 1;
             first.send_response("200 OK", &old_body);
         }
@@ -117,5 +123,5 @@
             return;
         }
     }
-    panic!("no five rounds in which the next request arrived before the pause was over");
+    panic!("expected 5 rounds in which the next request arrived within 20 ms, got fewer");
 }
