--- a/src/net/discovery/apply.rs
+++ b/src/net/discovery/apply.rs
@@ -1,9 +1,10 @@
-//! How a list of any length is applied: short ones at once, long ones prepared on a thread of their own and published
-//! in parts.
+//! Applies endpoint lists of any length. A short list is applied at once. A long list is prepared on another
+//! thread and published in parts.
 //!
-//! Each list reaches two places: the directory (upstream's `KnownEndpoints`) decides where an endpoint can be reached,
-//! and the balancer's table which endpoints are selected. `publish` updates both for a long list: the directory at once
-//! and the table in parts. Endpoints known before stay reachable until the last part is announced.
+//! Each list updates two places: the directory (upstream's `KnownEndpoints`) decides where an endpoint can be
+//! reached, and the decision engine's table decides which endpoints are selected. For a long list, `publish`
+//! updates the directory at once and the table in parts. Endpoints that were known before stay reachable
+//! until the decision engine has been notified of the last part.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,7 +14,7 @@
 use tokio::task::{spawn_blocking, spawn_local, yield_now, JoinError};
 
 use crate::decision::{EndpointEntry, EndpointId, EndpointUpdateKind, Event};
-use crate::net::discovery::delta::parts;
+use crate::net::discovery::delta::split_into_parts;
 use crate::net::discovery::directory::EndpointDirectory;
 use crate::net::discovery::endpoints::Endpoints;
 use crate::net::discovery::labels::PlacementLabels;
@@ -21,25 +22,25 @@
 use crate::net::discovery::snapshot::AppliedList;
 use crate::net::event_sink::EventSink;
 
-/// Longest text of a list, in bytes, that is applied at once. Requests wait meanwhile, so longer ones are prepared on
-/// a thread of their own.
+/// Maximum length, in bytes, of the text of a list that is applied at once. Requests wait while a list is
+/// applied, so a longer one is prepared on another thread.
 pub const MAX_INLINE_BYTES: usize = 64 * 1024;
-/// Most endpoints that are dropped at once.
+/// Maximum number of endpoints that are dropped on the event loop's thread.
 const MAX_INLINE_DROP: usize = 500;
 
-/// A list as it was received.
+/// An endpoint list as received from discovery.
 pub struct ReceivedList {
-    /// The list.
+    /// The parsed list.
     pub list: EndpointList,
-    /// Whether it is so long that it is prepared on a thread of its own.
+    /// Whether the list is longer than [`MAX_INLINE_BYTES`], so that it is prepared on another thread.
     pub is_long: bool,
 }
 
 impl ReceivedList {
-    /// Reads the text of a list, a long one on a thread of its own.
+    /// Parses the text of a list. A list longer than [`MAX_INLINE_BYTES`] is parsed on another thread.
     ///
     /// # Errors
-    /// If that thread fails; within, if the text is no list.
+    /// The outer error is returned if that thread fails, the inner one if the text is not a valid list.
     pub async fn read(text: Vec<u8>) -> Result<serde_json::Result<ReceivedList>, JoinError> {
         let is_long = text.len() > MAX_INLINE_BYTES;
         let read = move || EndpointList::read(&text).map(|list| ReceivedList { list, is_long });
@@ -51,24 +52,25 @@
     }
 }
 
-/// What became of a list.
+/// The outcome of a list that was passed to [`ListApplier::apply`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// It was applied.
+    /// The list was applied.
     Applied,
-    /// It was dropped: discovery has moved meanwhile, or a newer list was applied.
+    /// The list was dropped, because discovery has moved or a newer list was applied since it was received.
     Superseded,
 }
 
-/// A point in the order in which this node applies lists: after which move of discovery, and after how many lists. It
-/// is the node's own count; the version of a list is discovery's.
+/// A point in the order in which this node applies lists. Both counts are the node's own, whereas the version
+/// of a list is counted by discovery.
 #[derive(Clone, Copy, PartialEq)]
 struct ApplyPoint {
-    moves: u64,
-    applied_lists: u64,
+    move_count: u64,
+    applied_count: u64,
 }
 
-/// A long list applied to the endpoints known now, worked out beside the requests.
+/// The result of applying a long list to the endpoints known now, computed on another thread while requests
+/// are served.
 struct PreparedUpdate {
     endpoints: Endpoints,
     stale: Vec<EndpointId>,
@@ -84,68 +86,72 @@
         labels: &PlacementLabels,
     ) -> Self {
         let applied = apply_to(known, list, kind, labels);
-        let parts = parts(&applied.endpoints.delta_since(known));
+        let parts = split_into_parts(&applied.endpoints.delta_since(known));
         PreparedUpdate { endpoints: applied.endpoints, stale: applied.stale, faults: applied.faults, parts }
     }
 }
 
-/// Applies lists, one at a time, and knows the version of what was applied.
+/// Applies lists one at a time, and holds the version of the newest list applied.
 pub struct ListApplier {
     directory: Rc<dyn EndpointDirectory>,
     labels: Arc<PlacementLabels>,
-    /// The newest version applied. Each discovery counts its own; none is known after a move.
+    /// The newest version applied; `None` before the first list and after a move, because each discovery
+    /// counts its own versions.
     version: Cell<Option<u64>>,
-    /// How often discovery has moved: what was asked before a move says nothing after it.
-    moves: Cell<u64>,
-    applied_lists: Cell<u64>,
-    /// Held by the one long list that is being prepared or published.
+    /// The number of moves of discovery since the start. A response to a call that was made before a move is
+    /// not valid after it.
+    move_count: Cell<u64>,
+    applied_count: Cell<u64>,
+    /// Held while a long list is prepared and published, so that this is done for one long list at a time.
     long_list_lock: Mutex<()>,
-    /// Whether the decisions are being notified of a list in parts.
+    /// Whether the decision engine is being notified of a long list in parts.
     is_publishing: watch::Sender<bool>,
-    /// Whether discovery has sent anything since the start.
+    /// Whether discovery has sent a list, or confirmed the known one, since the start.
     first_snapshot: watch::Sender<bool>,
 }
 
 impl ListApplier {
-    /// Nothing is known yet.
+    /// Creates an applier that has not applied a list yet.
     pub fn new(directory: Rc<dyn EndpointDirectory>, labels: PlacementLabels) -> Rc<Self> {
         Rc::new(ListApplier {
             directory,
             labels: Arc::new(labels),
             version: Cell::default(),
-            moves: Cell::default(),
-            applied_lists: Cell::default(),
+            move_count: Cell::default(),
+            applied_count: Cell::default(),
             long_list_lock: Mutex::default(),
             is_publishing: watch::channel(false).0,
             first_snapshot: watch::channel(false).0,
         })
     }
 
-    /// The newest version applied, as discovery at the present address counts.
+    /// Returns the newest version applied, as counted by discovery at its present address. Returns `None` if
+    /// no list of that address was applied yet.
     pub fn version(&self) -> Option<u64> {
         self.version.get()
     }
 
-    /// How often discovery has moved.
-    pub fn moves(&self) -> u64 {
-        self.moves.get()
+    /// Returns the number of moves of discovery since the start.
+    pub fn move_count(&self) -> u64 {
+        self.move_count.get()
     }
 
-    /// Discovery has moved: no version at the new address is known.
+    /// Records that discovery has moved to another address, of which no version is known yet.
     pub fn discovery_moved(&self) {
-        self.moves.set(self.moves.get() + 1);
+        self.move_count.set(self.move_count.get() + 1);
         self.version.set(None);
     }
 
-    /// Notes a version that brings no change.
-    pub fn note_version(&self, version: u64) {
+    /// Records a version that contains no change.
+    pub fn record_version(&self, version: u64) {
         self.version.set(self.version.get().max(Some(version)));
         self.signal_first_snapshot();
     }
 
-    /// Returns once discovery has sent what it holds.
+    /// Waits until discovery has sent its first list or confirmed the known one. Returns at once if it has
+    /// done so since the start.
     pub async fn first_snapshot_received(&self) {
-        // The sender lives as long as this does.
+        // The wait cannot fail: `self` owns the sender.
         let _ = self.first_snapshot.subscribe().wait_for(|&is_received| is_received).await;
     }
 
@@ -154,12 +160,13 @@
     }
 
     fn apply_point(&self) -> ApplyPoint {
-        ApplyPoint { moves: self.moves.get(), applied_lists: self.applied_lists.get() }
+        ApplyPoint { move_count: self.move_count.get(), applied_count: self.applied_count.get() }
     }
 
-    /// Whether a list received at this point is out of date: after a move, or a newer list.
+    /// Returns whether a list of this version that was received at this point is out of date, because
+    /// discovery has moved or a newer list was applied since.
     fn is_superseded(&self, received_at: ApplyPoint, version: u64) -> bool {
-        let discovery_moved = received_at.moves != self.moves.get();
+        let discovery_moved = received_at.move_count != self.move_count.get();
         let newer_list_applied = received_at != self.apply_point() && Some(version) < self.version.get();
         discovery_moved || newer_list_applied
     }
@@ -167,7 +174,7 @@
     /// Applies a list of any length.
     ///
     /// # Errors
-    /// If the thread that prepares a long one fails.
+    /// Returns an error if the thread that prepares a long list fails.
     pub async fn apply(
         self: &Rc<Self>,
         events: &Rc<dyn EventSink>,
@@ -176,12 +183,13 @@
     ) -> Result<ApplyOutcome, JoinError> {
         let received_at = self.apply_point();
         if received.is_long {
-            // In a task of its own: a move ends the watch that has brought this list, and half of it would be
-            // applied.
+            // A separate task applies the list: a move of discovery aborts the watch that received it, and
+            // the list would be applied in part only.
             let applier = self.clone();
             return spawn_local(applier.apply_long(events.clone(), received.list, kind, received_at)).await?;
         }
-        // The later parts of a long list would undo what is applied between two of them.
+        // Waits until a long list is published completely: its later parts would overwrite a list that is
+        // applied between two of them.
         if *self.is_publishing.borrow() {
             let _ = self.is_publishing.subscribe().wait_for(|&is_publishing| !is_publishing).await;
         }
@@ -192,7 +200,8 @@
         Ok(ApplyOutcome::Applied)
     }
 
-    /// Applies a long list: prepares it on another thread until nothing has changed meanwhile, then publishes it.
+    /// Prepares a long list on another thread, again if the endpoints have changed meanwhile, and then
+    /// publishes it.
     async fn apply_long(
         self: Rc<Self>,
         events: Rc<dyn EventSink>,
@@ -205,7 +214,8 @@
         while !self.is_superseded(received_at, list.version) {
             let known = self.directory.endpoints();
             let update = self.prepare(&known, &list, kind).await?;
-            // What was prepared beside something else would undo what has been applied since.
+            // The update was prepared from `known`. If the endpoints have changed since, publishing it would
+            // undo the change.
             if !self.directory.is_current(&known) || self.is_superseded(received_at, list.version) {
                 drop_in_background((known, update));
                 continue;
@@ -214,7 +224,7 @@
             log_faults(list.faults());
             log_faults(&update.faults);
             drop_in_background((list, known));
-            self.publish(events.as_ref(), update, received_at.moves, version).await;
+            self.publish(events.as_ref(), update, received_at.move_count, version).await;
             return Ok(ApplyOutcome::Applied);
         }
         drop_in_background(list);
@@ -233,24 +243,25 @@
         spawn_blocking(move || PreparedUpdate::new(&known, &list, kind, &labels)).await
     }
 
-    /// Replaces the endpoints known before, and notifies the decisions of the change in parts.
-    async fn publish(&self, events: &dyn EventSink, update: PreparedUpdate, moves: u64, version: u64) {
+    /// Replaces the endpoints in the directory, and notifies the decision engine of the change in parts.
+    async fn publish(&self, events: &dyn EventSink, update: PreparedUpdate, move_count: u64, version: u64) {
         self.is_publishing.send_replace(true);
         self.directory.replace(update.endpoints, &update.stale);
         for entries in update.parts {
             events.send(Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, entries });
-            // Requests that are ready go first, and what has arrived on sockets is read.
+            // Between two parts the runtime runs the requests that are ready and reads what has arrived on
+            // sockets.
             yield_now().await;
         }
         drop_in_background(self.directory.finish_replacement());
         self.is_publishing.send_replace(false);
-        // The versions at a new address have nothing to do with those at the old one.
-        let has_not_moved = self.moves.get() == moves;
-        self.list_applied(if has_not_moved { Some(version) } else { self.version.get() });
+        // If discovery has moved meanwhile, the version of this list means nothing at the new address.
+        let has_not_moved = self.move_count.get() == move_count;
+        self.record_applied(if has_not_moved { Some(version) } else { self.version.get() });
         self.signal_first_snapshot();
     }
 
-    /// Applies a list at once, however long.
+    /// Applies a list of any length on the event loop's thread. Requests wait meanwhile.
     pub fn apply_inline(&self, events: &dyn EventSink, list: &EndpointList, kind: EndpointUpdateKind) {
         log_faults(list.faults());
         let entries = if kind == EndpointUpdateKind::Delta {
@@ -260,7 +271,7 @@
         } else {
             self.replace_inline(list, kind)
         };
-        self.list_applied(Some(list.version));
+        self.record_applied(Some(list.version));
         events.send(Event::EndpointsUpdated { kind, entries });
         if kind != EndpointUpdateKind::StaleSnapshot {
             self.signal_first_snapshot();
@@ -278,9 +289,9 @@
         applied.entries
     }
 
-    fn list_applied(&self, version: Option<u64>) {
+    fn record_applied(&self, version: Option<u64>) {
         self.version.set(version);
-        self.applied_lists.set(self.applied_lists.get() + 1);
+        self.applied_count.set(self.applied_count.get() + 1);
     }
 }
 
@@ -302,7 +313,8 @@
     }
 }
 
-/// Drops what may be long on another thread: requests would wait while tens of thousands of entries are freed.
+/// Drops a value that may hold tens of thousands of entries on another thread, because requests would wait
+/// while they are freed.
 fn drop_in_background<T: Send + 'static>(value: T) {
     spawn_blocking(move || drop(value));
 }
--- a/src/net/discovery/backoff.rs
+++ b/src/net/discovery/backoff.rs
@@ -1,11 +1,11 @@
-//! Jittered exponential backoff: the pauses between calls to a service that all nodes share.
+//! Exponential backoff with jitter, for calls to a service that all nodes share.
 
 use std::time::Duration;
 
 use fastrand::Rng;
 
-/// Pauses that double from the first to the longest, each spread at random over half to one and a half times its
-/// length. Without the spread, nodes that start or fail together would call again together, for ever.
+/// Computes pauses that double from the first to the longest. Each is multiplied by a random factor from 0.5
+/// to 1.5. Without this jitter, nodes that start or fail together would repeat their calls together for ever.
 pub struct Backoff {
     random: Rng,
     first: Duration,
@@ -14,24 +14,25 @@
 }
 
 impl Backoff {
-    /// The pauses of one node, by its seed.
+    /// Creates the pauses of one node, whose jitter is drawn with this seed.
     pub fn new(seed: u64, first: Duration, longest: Duration) -> Self {
         Backoff { random: Rng::with_seed(seed), first, longest, next: first }
     }
 
-    /// How long to wait before the next call.
+    /// Returns the time to wait before the next call, and doubles the pause after it.
     pub fn next_pause(&mut self) -> Duration {
         let pause = self.next;
         self.next = (pause * 2).min(self.longest);
         pause.mul_f64(0.5 + self.random.f64())
     }
 
-    /// A random part of this span, for what nodes that start together must not do together.
+    /// Returns a random duration from zero to `span`. It spreads an action that nodes which start together
+    /// must not do together.
     pub fn random_part_of(&mut self, span: Duration) -> Duration {
         span.mul_f64(self.random.f64())
     }
 
-    /// A call succeeded: the next pause is the first again.
+    /// Restarts from the first pause, after a call that has succeeded.
     pub fn reset(&mut self) {
         self.next = self.first;
     }
--- a/src/net/discovery/delta.rs
+++ b/src/net/discovery/delta.rs
@@ -1,25 +1,31 @@
-//! The delta between two states of the endpoint list, as the decisions are notified of it.
+//! Computes the delta between two states of the endpoint list, of which the decision engine is notified.
 
 use crate::decision::{EndpointEntry, EndpointState};
 use crate::net::discovery::endpoints::{Endpoint, Endpoints};
 
-/// Entries of a long delta that the decisions are notified of at once. A request may wait for a part in each turn of
-/// the runtime that it needs; each part costs a pass over the subset, so many small ones cost more in all.
+/// Maximum number of entries of a long delta in one notification of the decision engine. A request may wait
+/// for one part each time it yields to the runtime, which limits the length of a part. Each part costs one
+/// pass over the subset, so shorter parts cost more in total.
 pub const ENTRIES_PER_PART: usize = 256;
 
-/// The parts in which the decisions are notified of a delta.
-pub fn parts(delta: &[EndpointEntry]) -> Vec<Vec<EndpointEntry>> {
+/// Splits a delta into parts of at most [`ENTRIES_PER_PART`] entries, in their order. The decision engine is
+/// notified of one part at a time.
+pub fn split_into_parts(delta: &[EndpointEntry]) -> Vec<Vec<EndpointEntry>> {
     delta.chunks(ENTRIES_PER_PART).map(<[EndpointEntry]>::to_vec).collect()
 }
 
 impl Endpoints {
-    /// The delta that leads from `previous` to these: endpoints that are new, changed or removed, with what was
-    /// listed of them last.
+    /// Returns the delta that leads from `previous` to these endpoints. It contains the endpoints that are
+    /// new, changed or removed, each with its last listed attributes.
     ///
-    /// Changed endpoints precede removed ones, since their attempts follow the new list at once; both are in the
-    /// order of ids, and each is preceded by one that becomes active, as long as there are any. Notified first of
-    /// all that leave, the decisions would have nowhere to send requests until the others follow. So at each point
-    /// at least as many are active as at the start or at the end, whichever is fewer.
+    /// Changed endpoints precede removed ones, because attempts at a changed endpoint follow the new list at
+    /// once, while a removed endpoint stays reachable during the replacement. Both groups are in the order of
+    /// ids. An endpoint that becomes active is placed before each of these entries, until there are no more
+    /// endpoints that become active.
+    ///
+    /// If the endpoints that leave came first, the decision engine would have nowhere to send requests until
+    /// the others follow. In this order the number of active endpoints never falls below the lower of the two
+    /// numbers in `previous` and `self`.
     pub fn delta_since(&self, previous: &Endpoints) -> Vec<EndpointEntry> {
         let mut becoming_active = Vec::new();
         let mut others = Vec::new();
@@ -42,7 +48,8 @@
     }
 }
 
-/// Puts one of the first before each of the second, as long as there are any, and the rest of the first at the end.
+/// Alternates between the two lists, starting with `first`. When one list is exhausted, the rest of the other
+/// follows.
 fn interleave(first: Vec<EndpointEntry>, second: Vec<EndpointEntry>) -> Vec<EndpointEntry> {
     let mut merged = Vec::with_capacity(first.len() + second.len());
     let mut first = first.into_iter();
--- a/src/net/discovery/endpoint_id.rs
+++ b/src/net/discovery/endpoint_id.rs
@@ -1,17 +1,18 @@
-//! The id of an endpoint, derived from its name.
+//! Derives the id of an endpoint from its name.
 
 use crate::decision::EndpointId;
 
-/// How a name gives an id.
+/// A function that derives an endpoint's id from its name.
 pub type IdFunction = fn(&str) -> EndpointId;
 
 const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
 const FNV_PRIME: u32 = 0x0100_0193;
 
-/// An endpoint's id, from its name alone, so that all nodes agree on it and on the order of all.
+/// Derives an endpoint's id from its name alone, so that all nodes agree on the ids and on their order.
 ///
-/// The high half is FNV-1a of the name, the low half Jenkins's one-at-a-time, which has nothing in common with it.
-/// With the high half alone two of 46,000 names would share an id one time in four.
+/// The high 32 bits are the FNV-1a hash of the name, the low 32 bits Jenkins's one-at-a-time hash, which is
+/// unrelated to FNV-1a. With the high half alone, two of 46,000 names would share an id with a probability of
+/// one in four.
 pub fn endpoint_id(name: &str) -> EndpointId {
     let high = fnv_1a(name.as_bytes());
     let low = one_at_a_time(name.as_bytes());
--- a/src/net/discovery/endpoints.rs
+++ b/src/net/discovery/endpoints.rs
@@ -1,4 +1,5 @@
-//! All endpoints that discovery names: their ids, where they are, and which share an address.
+//! The endpoints known from discovery: their ids, addresses and attributes, and which endpoints share an
+//! address.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,25 +10,26 @@
 use crate::net::discovery::labels::PlacementLabels;
 use crate::net::discovery::parser::{ListEntry, ListFaults};
 
-/// What the list says of an endpoint beside its name and address: all that the decisions know of it.
+/// The listed properties of an endpoint other than its name and address. The decision engine is notified of
+/// these only.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Attributes {
-    /// When it last started, in milliseconds of Unix time; 0: long ago.
+    /// When the endpoint last started, in milliseconds of Unix time; 0 stands for a start long ago.
     pub started_at_ms: u64,
-    /// Its capacity relative to other endpoints.
+    /// Its capacity relative to that of other endpoints.
     pub weight: f64,
-    /// Its zone, as the settings number it.
+    /// Its zone, as numbered by [`PlacementLabels`].
     pub zone: u32,
-    /// Its kind of machine, as the settings number it.
+    /// Its machine kind, as numbered by [`PlacementLabels`].
     pub machine_kind: u32,
-    /// Its cell.
+    /// The number of its cell.
     pub cell: u32,
-    /// Its state.
+    /// Whether it is active, draining or removed.
     pub state: EndpointState,
 }
 
 impl Attributes {
-    /// The attributes that an entry names.
+    /// Returns the attributes in a list entry.
     pub(super) fn of(entry: &ListEntry, labels: &PlacementLabels) -> Self {
         Attributes {
             started_at_ms: entry.started_at_ms,
@@ -39,7 +41,7 @@
         }
     }
 
-    /// The entry for the decisions.
+    /// Returns the entry by which the decision engine is notified of this endpoint.
     pub(super) fn entry(&self, id: EndpointId) -> EndpointEntry {
         EndpointEntry {
             id,
@@ -53,19 +55,19 @@
     }
 }
 
-/// An endpoint as last listed.
+/// An endpoint with the address and attributes of its last list entry.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Endpoint {
-    /// Its name, the same at every node.
+    /// Its name, which is the same at every node.
     pub name: Arc<str>,
-    /// Where it is.
+    /// The address at which it accepts connections.
     pub address: SocketAddr,
-    /// What else the list says of it.
+    /// Its other listed properties.
     pub attributes: Attributes,
 }
 
 impl Endpoint {
-    /// Whether it takes new requests.
+    /// Returns whether the endpoint takes new requests.
     pub fn is_active(&self) -> bool {
         self.attributes.state == EndpointState::Active
     }
@@ -74,22 +76,22 @@
 /// The result of applying the entries of a delta.
 #[derive(Default)]
 pub struct AppliedEntries {
-    /// What the decisions are notified of.
+    /// The entries of which the decision engine is notified.
     pub entries: Vec<EndpointEntry>,
-    /// Endpoints whose connections may lead elsewhere now.
+    /// Endpoints whose existing connections may not lead to the process that is listed now.
     pub stale: Vec<EndpointId>,
-    /// What was wrong with entries.
+    /// The faults found in entries.
     pub faults: ListFaults,
 }
 
-/// All endpoints, by id.
+/// The endpoints known from discovery, by id.
 #[derive(Debug, Clone)]
 pub struct Endpoints {
     pub(super) id_function: IdFunction,
     pub(super) by_id: BTreeMap<EndpointId, Endpoint>,
     by_address: BTreeSet<(SocketAddr, EndpointId)>,
-    /// Names whose own id was another's when they were added.
-    displaced: BTreeMap<Arc<str>, EndpointId>,
+    /// The ids of endpoints whose derived id belonged to another endpoint when they were added, by name.
+    reassigned_ids: BTreeMap<Arc<str>, EndpointId>,
 }
 
 impl Default for Endpoints {
@@ -99,51 +101,51 @@
 }
 
 impl Endpoints {
-    /// No endpoints yet; their names will give their ids by this function.
+    /// Creates an empty set of endpoints, whose ids will be derived from their names by this function.
     pub fn with_id_function(id_function: IdFunction) -> Self {
         Endpoints {
             id_function,
             by_id: BTreeMap::new(),
             by_address: BTreeSet::new(),
-            displaced: BTreeMap::new(),
+            reassigned_ids: BTreeMap::new(),
         }
     }
 
-    /// How many there are.
+    /// Returns the number of endpoints.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether there are no endpoints.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
 
-    /// The endpoint with this id.
+    /// Returns the endpoint with this id, or `None` if it is not known.
     pub fn get(&self, id: EndpointId) -> Option<&Endpoint> {
         self.by_id.get(&id)
     }
 
-    /// The ids of those that take new requests, in order.
+    /// Returns the ids of the endpoints that take new requests, in ascending order.
     pub fn active_ids(&self) -> impl Iterator<Item = EndpointId> + '_ {
         self.by_id.iter().filter(|(_, endpoint)| endpoint.is_active()).map(|(&id, _)| id)
     }
 
-    /// The id of the endpoint with this name, if it is known.
+    /// Returns the id of the endpoint with this name, or `None` if it is not known.
     pub fn find(&self, name: &str) -> Option<EndpointId> {
-        self.find_with_own_id(name, (self.id_function)(name))
+        self.find_by_derived_id(name, (self.id_function)(name))
     }
 
-    /// The id of the endpoint with this name, which gives `own_id`.
-    pub(super) fn find_with_own_id(&self, name: &str, own_id: EndpointId) -> Option<EndpointId> {
-        if let Some(&id) = self.displaced.get(name) {
+    /// Returns the same as [`find`](Self::find), for a caller that has already derived the id of `name`.
+    pub(super) fn find_by_derived_id(&self, name: &str, derived_id: EndpointId) -> Option<EndpointId> {
+        if let Some(&id) = self.reassigned_ids.get(name) {
             return Some(id);
         }
-        let endpoint = self.by_id.get(&own_id)?;
-        (*endpoint.name == *name).then_some(own_id)
+        let endpoint = self.by_id.get(&derived_id)?;
+        (*endpoint.name == *name).then_some(derived_id)
     }
 
-    /// Whether another endpoint than this one is listed at the address.
+    /// Returns whether an endpoint other than `id` is listed at the address.
     pub fn is_address_shared(&self, id: EndpointId, address: SocketAddr) -> bool {
         self.ids_at(address).any(|other| other != id)
     }
@@ -153,20 +155,21 @@
         self.by_address.range(range).map(|&(_, id)| id)
     }
 
-    /// The endpoint's own id, or the next that is free both here and in `previous`. Two endpoints under one id would
-    /// share their state, and one that takes the id of an endpoint just removed would inherit its state.
-    pub(super) fn free_id(&self, own_id: EndpointId, previous: &Endpoints) -> EndpointId {
-        let mut id = own_id;
+    /// Returns `derived_id`, or the next id after it that is free both here and in `previous`; the highest id
+    /// is followed by 0. Two endpoints with one id would share their state, and an endpoint that takes the id
+    /// of one just removed would inherit its state.
+    pub(super) fn free_id(&self, derived_id: EndpointId, previous: &Endpoints) -> EndpointId {
+        let mut id = derived_id;
         while self.by_id.contains_key(&id) || previous.by_id.contains_key(&id) {
             id = EndpointId(id.0.wrapping_add(1));
         }
         id
     }
 
-    /// Puts an endpoint in, in the place of the one with this id.
-    pub(super) fn insert(&mut self, id: EndpointId, own_id: EndpointId, endpoint: Endpoint) {
-        if id != own_id {
-            self.displaced.insert(endpoint.name.clone(), id);
+    /// Inserts an endpoint, or replaces the endpoint with this id.
+    pub(super) fn insert(&mut self, id: EndpointId, derived_id: EndpointId, endpoint: Endpoint) {
+        if id != derived_id {
+            self.reassigned_ids.insert(endpoint.name.clone(), id);
         }
         let address = endpoint.address;
         if let Some(old) = self.by_id.insert(id, endpoint) {
@@ -178,11 +181,12 @@
     fn remove(&mut self, id: EndpointId) {
         if let Some(old) = self.by_id.remove(&id) {
             self.by_address.remove(&(old.address, id));
-            self.displaced.remove(&old.name);
+            self.reassigned_ids.remove(&old.name);
         }
     }
 
-    /// Rebuilds the maps in order: they take less memory than maps filled one by one.
+    /// Rebuilds the maps from their sorted contents, because a map built in one step takes less memory than
+    /// one filled entry by entry.
     pub(super) fn compact(&mut self) {
         self.by_id = std::mem::take(&mut self.by_id).into_iter().collect();
         self.by_address = std::mem::take(&mut self.by_address).into_iter().collect();
@@ -197,10 +201,11 @@
         applied
     }
 
-    /// Applies one entry. Without a usable address the last one is kept; with none at all the entry is left out.
+    /// Applies one entry. If the entry has no usable address, the endpoint keeps its last one. If the
+    /// endpoint has none either, the entry is skipped and counted as a fault.
     fn apply_entry(&mut self, entry: &ListEntry, labels: &PlacementLabels, applied: &mut AppliedEntries) {
-        let own_id = (self.id_function)(&entry.name);
-        let known_id = self.find_with_own_id(&entry.name, own_id);
+        let derived_id = (self.id_function)(&entry.name);
+        let known_id = self.find_by_derived_id(&entry.name, derived_id);
         let old = known_id.and_then(|id| self.by_id.get(&id));
         let attributes = Attributes::of(entry, labels);
         if entry.state == EndpointState::Removed {
@@ -212,20 +217,21 @@
             return;
         }
         let Some(address) = entry.address.or(old.map(|old| old.address)) else {
-            applied.faults.add(format_args!("{} has no usable address; entry left out", entry.name));
+            applied.faults.add(format_args!("endpoint {} has no usable address; entry skipped", entry.name));
             return;
         };
-        let leads_elsewhere = old.is_none_or(|old| {
+        let connections_are_stale = old.is_none_or(|old| {
             old.address != address || old.attributes.started_at_ms != attributes.started_at_ms
         });
         let name = old.map_or(&entry.name, |old| &old.name).clone();
-        let id = known_id.unwrap_or_else(|| self.free_id(own_id, self));
-        if leads_elsewhere {
+        let id = known_id.unwrap_or_else(|| self.free_id(derived_id, self));
+        if connections_are_stale {
             applied.stale.push(id);
         }
-        // A new endpoint may stand at the address of one that was removed. Connections lead to the old one.
+        // A new endpoint may be listed at the address of one that was removed. Existing connections lead to
+        // the removed one.
         applied.stale.extend(self.ids_at(address).filter(|&other| other != id));
-        self.insert(id, own_id, Endpoint { name, address, attributes });
+        self.insert(id, derived_id, Endpoint { name, address, attributes });
         applied.entries.push(attributes.entry(id));
     }
 }
--- a/src/net/discovery/error.rs
+++ b/src/net/discovery/error.rs
@@ -1,4 +1,4 @@
-//! Why a call to discovery failed.
+//! Errors of calls to discovery.
 
 use std::error::Error;
 use std::fmt;
@@ -9,48 +9,48 @@
 
 use crate::net::http_client::SendError;
 
-/// Most bytes of a list: twice that of 46,000 endpoints with long names, indented.
+/// Maximum length of a list in bytes: twice that of an indented list of 46,000 endpoints with long names.
 pub const MAX_LIST_BYTES: usize = 32 * 1024 * 1024;
 
-/// Why a call to discovery failed.
+/// The reason for which a call to discovery failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum DiscoveryError {
-    /// Nothing, or nothing more, arrived in time.
-    #[error("no response in time")]
+    /// No response, or no further part of it, arrived before the timeout.
+    #[error("no complete response before the timeout")]
     TimedOut,
-    /// No connection was established.
+    /// The connection could not be established.
     #[error("cannot connect")]
     Connect(#[source] io::Error),
-    /// The request cannot be written as HTTP.
+    /// The request cannot be represented in HTTP.
     #[error("invalid request")]
     InvalidRequest(#[source] hyper::http::Error),
-    /// There was no head of a response.
-    #[error("the request failed")]
+    /// The connection failed before the head of the response arrived.
+    #[error("no response head received")]
     Send(#[source] SendError),
-    /// The connection failed within the body.
-    #[error("the connection failed")]
+    /// The connection failed while the body of the response was read.
+    #[error("connection failed while reading the response body")]
     Body(#[source] hyper::Error),
-    /// The response has another status than 200.
-    #[error("status {0}")]
+    /// The response has a status other than 200.
+    #[error("expected status 200, got {0}")]
     Status(StatusCode),
-    /// The body is no list.
+    /// The body of the response is not a valid list.
     #[error("malformed list")]
     Malformed(#[source] serde_json::Error),
-    /// The list cannot be applied.
-    #[error("malformed list: no entry can be read")]
+    /// The list cannot be applied, because it has no readable entry.
+    #[error("malformed list: no readable entry")]
     NoReadableEntry,
-    /// The list is longer than allowed.
-    #[error("a list of more than {MAX_LIST_BYTES} bytes")]
+    /// The list is longer than [`MAX_LIST_BYTES`].
+    #[error("list is longer than {MAX_LIST_BYTES} bytes")]
     TooLong,
-    /// The thread that prepares long lists failed.
-    #[error("a long list could not be prepared")]
+    /// The thread that parses or prepares a long list failed.
+    #[error("the thread that prepares long lists failed")]
     Worker(#[source] JoinError),
 }
 
-/// An error with the errors that caused it, in one line.
-pub(super) struct WithCauses<'a>(pub(super) &'a dyn Error);
+/// Displays an error and its chain of causes on one line.
+pub(super) struct ErrorChain<'a>(pub(super) &'a dyn Error);
 
-impl fmt::Display for WithCauses<'_> {
+impl fmt::Display for ErrorChain<'_> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}", self.0)?;
         let mut cause = self.0.source();
--- a/src/net/discovery/labels.rs
+++ b/src/net/discovery/labels.rs
@@ -1,8 +1,9 @@
-//! Zones and kinds of machines: names on the endpoint list, numbers in the settings and the decisions.
+//! Maps the names of zones and machine kinds on the endpoint list to the numbers used in the settings and the
+//! decision engine.
 
 use std::collections::BTreeMap;
 
-/// Names numbered in their order, from 0; of two that are equal the first counts.
+/// Labels numbered in their order, from 0. A label that occurs twice has the number of its first occurrence.
 #[derive(Debug, Clone)]
 struct LabelNumbers {
     numbers: BTreeMap<String, u32>,
@@ -24,7 +25,8 @@
     }
 }
 
-/// Zones and kinds of machines as the settings number them; all unknown ones have the next number.
+/// The numbers of zones and machine kinds, as in the settings. All unknown zones share the number that
+/// follows the last known one, and so do all unknown machine kinds.
 #[derive(Debug, Clone)]
 pub struct PlacementLabels {
     zones: LabelNumbers,
@@ -32,17 +34,17 @@
 }
 
 impl PlacementLabels {
-    /// Numbers these names in their order, from 0.
+    /// Numbers the zones and the machine kinds in their order, from 0.
     pub fn new(zones: Vec<String>, machine_kinds: Vec<String>) -> Self {
         PlacementLabels { zones: LabelNumbers::new(zones), machine_kinds: LabelNumbers::new(machine_kinds) }
     }
 
-    /// The number of a zone.
+    /// Returns the number of a zone.
     pub(super) fn zone(&self, name: &str) -> u32 {
         self.zones.number(name)
     }
 
-    /// The number of a kind of machine.
+    /// Returns the number of a machine kind.
     pub(super) fn machine_kind(&self, name: &str) -> u32 {
         self.machine_kinds.number(name)
     }
--- a/src/net/discovery/list_client.rs
+++ b/src/net/discovery/list_client.rs
@@ -1,4 +1,4 @@
-//! Calls to discovery over HTTP: a request for a list, and its response read to the end.
+//! Calls discovery over HTTP: sends a request for a list and reads the response to its end.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -16,20 +16,26 @@
 use crate::net::discovery::timeout::{finish_by, WatchTimeout};
 use crate::net::http_client::HttpConnection;
 
-/// The head of a response, and the connection that its body arrives on.
+/// The head of a response, and the connection on which its body arrives.
 struct ResponseHead {
     connection: HttpConnection,
     response: Response<Incoming>,
 }
 
-/// Calls discovery at an address that may change.
+/// Calls discovery at an address that can be replaced while calls are in flight.
 pub(super) struct ListClient {
     pub(super) address: Cell<SocketAddr>,
 }
 
 impl ListClient {
-    /// Asks for a list. Discovery may take `wait` to begin its response, and as long as the list goes on arriving
-    /// within the limits of [`WatchTimeout`]. The connection is used if it is open, and kept after success.
+    /// Requests a list and returns it when it is complete. Discovery has to begin its response within `wait`;
+    /// while the body keeps arriving, the limits of [`WatchTimeout`] apply.
+    ///
+    /// The call uses `connection` if it is open, or else opens a new one. After a complete response with
+    /// status 200 the connection is left in `connection`; otherwise `connection` is `None`.
+    ///
+    /// # Errors
+    /// Returns an error if the call fails, or if the list in the response is malformed or cannot be applied.
     pub(super) async fn call(
         &self,
         connection: &mut Option<HttpConnection>,
@@ -55,7 +61,7 @@
         }
     }
 
-    /// Sends a request and waits for the head of its response.
+    /// Sends a request, on the kept connection if it is open, and returns the head of its response.
     async fn send(&self, kept: Option<HttpConnection>, path: &str) -> Result<ResponseHead, DiscoveryError> {
         let mut connection = match kept.filter(HttpConnection::is_open) {
             Some(connection) => connection,
@@ -70,7 +76,8 @@
     }
 }
 
-/// Reads the text of a list.
+/// Reads the body of a response. Returns an error if the body exceeds [`MAX_LIST_BYTES`] or misses its
+/// deadline.
 async fn read_text(mut body: Incoming, timeout: WatchTimeout) -> Result<Vec<u8>, DiscoveryError> {
     let announced_bytes = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
     if announced_bytes > MAX_LIST_BYTES {
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,11 +1,13 @@
-//! Discovery: a watch of the endpoint list that never ends, and single fetches.
+//! Watches the endpoint list of discovery for as long as the node runs, and fetches the full list on request.
 //!
-//! Discovery is one of two services, which are called in the same way: an agent on the node's own machine that holds
-//! the list for it, or one shared service that all nodes call. "Discovery" means either; "agent" and "shared
-//! service" are used where they differ. Discovery moves when a reload of the configuration names another address.
+//! Discovery is one of two services, which are called in the same way: an agent on the node's own machine,
+//! which holds the list for the node, or one shared service that all nodes call. "Discovery" stands for
+//! either; "agent" and "shared service" are used where the two differ. Discovery moves when a reload of the
+//! configuration names another address.
 //!
-//! `watch` decides when to call, `list_client` makes the calls, `parser` reads their lists, and `apply` puts them into
-//! the [`directory::EndpointDirectory`] and notifies the decisions.
+//! `watch` decides when to call, `list_client` makes the calls and `parser` parses the lists in their
+//! responses. `apply` stores the lists in the [`directory::EndpointDirectory`] and notifies the decision
+//! engine.
 
 pub mod apply;
 pub mod backoff;
--- a/src/net/discovery/parser.rs
+++ b/src/net/discovery/parser.rs
@@ -1,4 +1,5 @@
-//! The endpoint list as discovery sends it: read entry by entry, so that a malformed one hides no other.
+//! Parses the endpoint list that discovery sends. Each entry is parsed separately, so that a malformed entry
+//! does not invalidate the others.
 
 use std::borrow::Cow;
 use std::collections::BTreeSet;
@@ -12,106 +13,107 @@
 
 use crate::decision::EndpointState;
 
-/// Faults of one list that are logged one by one; of the others only their number is logged. A list with a fault in
-/// each entry would fill the log.
+/// Maximum number of faults of one list that are logged individually. Of the others only the number is
+/// logged, because a list with a fault in each entry would fill the log.
 pub const MAX_LOGGED_FAULTS: usize = 5;
 
-/// A list of endpoints, or a delta of it.
+/// A full list of endpoints, or a delta of that list.
 #[derive(Deserialize, Default)]
 pub struct EndpointList {
-    /// The version, as discovery counts.
+    /// The version of the list, as counted by discovery.
     #[serde(rename = "index")]
     pub version: u64,
-    /// Whether it is the full list, and not a delta.
+    /// Whether this is the full list and not a delta.
     #[serde(rename = "snapshot", default)]
     pub is_snapshot: bool,
     endpoints: Option<ParsedEntries>,
 }
 
 impl EndpointList {
-    /// Reads the text of a list. An entry that cannot be read is left out and counted among the faults.
+    /// Parses the text of a list. An entry that cannot be read is skipped and counted as a fault.
     ///
     /// # Errors
-    /// If the text is no list.
+    /// Returns an error if the text is not a valid list.
     pub fn read(text: &[u8]) -> serde_json::Result<EndpointList> {
         serde_json::from_slice(text)
     }
 
-    /// Whether it has no entry at all.
+    /// Returns whether the list has no entries, readable or not.
     pub fn is_empty(&self) -> bool {
         self.endpoints.as_ref().is_none_or(ParsedEntries::is_empty)
     }
 
-    /// Whether it can be applied. A full list without entries, or with none that can be read, would remove every
-    /// endpoint. Of a delta, entries that cannot be read are passed over.
+    /// Returns whether the list can be applied. A list without the member `endpoints` cannot be applied, and
+    /// neither can a full list that has entries of which none is readable: each of them, as a full list,
+    /// would remove every endpoint. A delta is applied without its unreadable entries.
     pub fn is_usable(&self) -> bool {
         let Some(entries) = &self.endpoints else { return false };
         !self.is_snapshot || !entries.parsed.is_empty() || entries.faults.count() == 0
     }
 
-    /// The entries that could be read, in the order of the list.
+    /// Returns the readable entries, in the order of the list.
     pub fn entries(&self) -> &[ListEntry] {
         self.endpoints.as_ref().map_or(&[], |entries| &entries.parsed)
     }
 
-    /// What was wrong with the others.
+    /// Returns the faults found while the entries were parsed.
     pub fn faults(&self) -> &ListFaults {
-        const NONE: &ListFaults = &ListFaults { messages: Vec::new(), unlisted: 0 };
+        const NONE: &ListFaults = &ListFaults { messages: Vec::new(), unlogged_count: 0 };
         self.endpoints.as_ref().map_or(NONE, |entries| &entries.faults)
     }
 }
 
-/// An endpoint as a list has it.
+/// The entry of an endpoint on a list.
 pub struct ListEntry {
-    /// Its name, the same at every node.
+    /// The endpoint's name, which is the same at every node.
     pub name: Arc<str>,
-    /// Where it is; none if the text is no address.
+    /// The endpoint's address; `None` if the text in the entry is not an address.
     pub address: Option<SocketAddr>,
-    /// The zone's name.
+    /// The name of its zone.
     pub zone: Arc<str>,
-    /// The name of its kind of machine.
+    /// The name of its machine kind.
     pub machine_kind: Arc<str>,
-    /// Its cell.
+    /// The number of its cell; 0 if the entry has none.
     pub cell: u32,
-    /// Its state; an unknown one counts as draining.
+    /// Its state; an unknown status is parsed as draining.
     pub state: EndpointState,
-    /// Its capacity relative to other endpoints; 1 where the list has none.
+    /// Its capacity relative to that of other endpoints; 1 if the entry has none.
     pub weight: f64,
-    /// When it last started, in milliseconds of Unix time; 0: long ago.
+    /// When the endpoint last started, in milliseconds of Unix time; 0 stands for a start long ago.
     pub started_at_ms: u64,
 }
 
-/// What was wrong with entries of one list: how many faults, and the first few in words.
+/// The faults found in one list: their number, and the messages of the first [`MAX_LOGGED_FAULTS`].
 #[derive(Default)]
 pub struct ListFaults {
     messages: Vec<String>,
-    /// Faults beyond those in words.
-    unlisted: usize,
+    /// The number of faults without a message.
+    unlogged_count: usize,
 }
 
 impl ListFaults {
-    /// Adds one.
+    /// Adds a fault.
     pub fn add(&mut self, fault: impl fmt::Display) {
         if self.messages.len() < MAX_LOGGED_FAULTS {
             self.messages.push(fault.to_string());
         } else {
-            self.unlisted += 1;
+            self.unlogged_count += 1;
         }
     }
 
-    /// How many there are.
+    /// Returns the number of faults.
     pub fn count(&self) -> usize {
-        self.messages.len() + self.unlisted
+        self.messages.len() + self.unlogged_count
     }
 
-    /// Lines for the log, at most one more than [`MAX_LOGGED_FAULTS`].
+    /// Returns the lines for the log, at most one more than [`MAX_LOGGED_FAULTS`].
     pub fn lines(&self) -> impl Iterator<Item = String> + '_ {
-        let rest = format!("{} more entries of this list are at fault", self.unlisted);
-        self.messages.iter().cloned().chain((self.unlisted > 0).then_some(rest))
+        let rest = format!("{} more entries of this list are faulty", self.unlogged_count);
+        self.messages.iter().cloned().chain((self.unlogged_count > 0).then_some(rest))
     }
 }
 
-/// The entries of a list.
+/// The readable entries of a list, and its faults.
 #[derive(Default)]
 struct ParsedEntries {
     parsed: Vec<ListEntry>,
@@ -123,22 +125,24 @@
         self.parsed.is_empty() && self.faults.count() == 0
     }
 
-    fn add(&mut self, raw: RawEntry<'_>, labels: &mut SharedLabels) {
+    fn add(&mut self, raw: RawEntry<'_>, labels: &mut LabelInterner) {
         let state = match &*raw.status {
             "up" => EndpointState::Active,
             "removed" => EndpointState::Removed,
             "draining" => EndpointState::Draining,
             unknown => {
-                self.faults
-                    .add(format_args!("{} has the unknown status {unknown:?}; taken as draining", raw.name));
+                self.faults.add(format_args!(
+                    "endpoint {} has the unknown status {unknown:?}; treated as draining",
+                    raw.name
+                ));
                 EndpointState::Draining
             }
         };
         self.parsed.push(ListEntry {
             name: raw.name.into(),
             address: raw.address.parse().ok(),
-            zone: labels.shared(&raw.zone),
-            machine_kind: labels.shared(&raw.machine_kind),
+            zone: labels.intern(&raw.zone),
+            machine_kind: labels.intern(&raw.machine_kind),
             cell: raw.cell,
             state,
             weight: raw.weight.unwrap_or(1.0),
@@ -147,7 +151,7 @@
     }
 }
 
-/// An entry as it is serialized.
+/// An entry as it is serialized in the list.
 #[derive(Deserialize)]
 struct RawEntry<'a> {
     #[serde(borrow)]
@@ -173,23 +177,23 @@
     }
 }
 
-/// Reads each entry by itself.
+/// Parses the sequence of entries, each entry separately.
 struct EntriesVisitor;
 
 impl<'de> Visitor<'de> for EntriesVisitor {
     type Value = ParsedEntries;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("a list of endpoints")
+        formatter.write_str("an array of endpoint entries")
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut sequence: A) -> Result<ParsedEntries, A::Error> {
         let mut entries = ParsedEntries::default();
-        let mut labels = SharedLabels::default();
+        let mut labels = LabelInterner::default();
         while let Some(text) = sequence.next_element::<&RawValue>()? {
             match serde_json::from_str::<RawEntry<'_>>(text.get()) {
                 Ok(raw) => entries.add(raw, &mut labels),
-                Err(error) => entries.faults.add(format_args!("malformed entry left out: {error}")),
+                Err(error) => entries.faults.add(format_args!("malformed entry skipped: {error}")),
             }
         }
         entries.parsed.shrink_to_fit();
@@ -197,17 +201,17 @@
     }
 }
 
-/// Names that many entries share, each kept once.
+/// Interns labels, so that entries with the same label share one string.
 #[derive(Default)]
-struct SharedLabels(BTreeSet<Arc<str>>);
+struct LabelInterner(BTreeSet<Arc<str>>);
 
-impl SharedLabels {
-    fn shared(&mut self, label: &str) -> Arc<str> {
+impl LabelInterner {
+    fn intern(&mut self, label: &str) -> Arc<str> {
         if let Some(known) = self.0.get(label) {
             return known.clone();
         }
-        let shared = Arc::<str>::from(label);
-        self.0.insert(shared.clone());
-        shared
+        let interned = Arc::<str>::from(label);
+        self.0.insert(interned.clone());
+        interned
     }
 }
--- a/src/net/discovery/schedule.rs
+++ b/src/net/discovery/schedule.rs
@@ -1,43 +1,47 @@
-//! When a node calls discovery: its first call, and again after calls that failed.
+//! Schedules a node's calls to discovery: its first call, and the retries of failed calls.
 
 use std::time::Duration;
 
 use crate::net::discovery::backoff::Backoff;
 use crate::net::discovery::timeout::{FETCH_TIMEOUT, NOTIFIED_AFTER, RETRY_RESPONSE_TIME};
 
-/// The shortest first pause where all nodes call one shared service.
+/// Minimum of the first pause at a shared service.
 const MIN_SHARED_PAUSE: Duration = Duration::from_millis(20);
-/// The first pause after a failed call to an agent. It responds at no cost, and a watch goes on as one while each call
-/// comes within 200 ms of the last response.
+/// The first pause after a failed call to an agent. A response of the agent costs nothing, and consecutive
+/// calls count as one uninterrupted watch while each of them arrives within 200 ms of the previous response.
 const AGENT_FIRST_PAUSE: Duration = Duration::from_millis(20);
-/// The longest of these pauses.
+/// The longest pause after a failed call to an agent, before jitter.
 pub const AGENT_MAX_PAUSE: Duration = Duration::from_millis(160);
-/// What each node of the fleet adds to the spread of first calls, and of pauses after failed calls, at a shared
-/// service. That has a fixed capacity and goes on working on calls that nobody waits for any more: nodes that all call
-/// at once, and again as soon as they have failed, keep it overloaded for ever.
+/// The time that each node of the fleet adds to the spread of first calls, and of pauses after failed calls,
+/// at a shared service. The service has a fixed capacity and keeps working on calls whose callers have timed
+/// out. If all nodes call at once, and again as soon as their calls have failed, the service stays overloaded
+/// for ever.
 const SPREAD_PER_NODE: Duration = Duration::from_millis(50);
-/// How many times longer the longest pause is than the first at a shared service.
+/// The ratio of the longest pause to the first one at a shared service.
 pub const MAX_PAUSE_FACTOR: u32 = 2;
-/// The longest delay of a first call: it needs time for its response, too.
+/// The longest delay of a first call: it leaves time for the response before [`NOTIFIED_AFTER`].
 const MAX_FIRST_CALL_DELAY: Duration = NOTIFIED_AFTER.saturating_sub(FETCH_TIMEOUT);
-/// The longest pause between calls until discovery has sent its first list. After a move several calls fit into
-/// [`NOTIFIED_AFTER_MOVE`](crate::net::discovery::timeout::NOTIFIED_AFTER_MOVE).
+/// The longest pause between calls until discovery has sent its first list. After a move several calls fit
+/// into [`NOTIFIED_AFTER_MOVE`](crate::net::discovery::timeout::NOTIFIED_AFTER_MOVE).
 const MAX_PAUSE_BEFORE_FIRST_LIST: Duration = Duration::from_millis(500);
-/// The share of a limited pause that is drawn at random.
+/// The share of a pause limited by a deadline that is drawn at random.
 const JITTER_SHARE: f64 = 0.2;
 
-/// When one node calls discovery: such that all nodes together do not overload it and no list grows too old.
+/// Schedules the calls of one node, so that all nodes together do not overload discovery and no node's list
+/// becomes too old.
 pub struct WatchSchedule {
     backoff: Backoff,
-    /// The longest delay of the first call of a node that has a list already.
+    /// The longest delay of the first call of a node that already has a list.
     max_first_call_delay: Duration,
 }
 
 impl WatchSchedule {
-    /// For one of `node_count` nodes. `is_shared`: discovery is one service shared by all nodes, not an agent.
+    /// Creates the schedule of one of `node_count` nodes. `is_shared` says that discovery is one service
+    /// shared by all nodes, and not an agent. The random delays and pauses are drawn with `seed`.
     ///
-    /// An agent is called without delay: a change that it holds and the node missed counts against the node at once,
-    /// each pause in the watch may miss a drain, and no other node calls the agent.
+    /// An agent is called without delay, for three reasons: a change that the agent holds and the node has
+    /// missed counts against the node at once, the node may miss a drain during each pause in its watch, and
+    /// no other node calls this agent.
     pub fn new(seed: u64, node_count: u32, is_shared: bool) -> Self {
         if !is_shared {
             return WatchSchedule {
@@ -52,29 +56,31 @@
         }
     }
 
-    /// The delay of the first call of a node that has a list already.
+    /// Returns the delay of the first call of a node that already has a list.
     pub fn first_call_delay(&mut self) -> Duration {
         self.backoff.random_part_of(self.max_first_call_delay)
     }
 
-    /// The pause after a call that failed `call_time` after it began. A change of the time at which the call began
-    /// counts against the node from [`NOTIFIED_AFTER`] on, however the call ended.
+    /// Returns the pause after a call that failed `call_time` after it began. Retrying in time matters
+    /// however the call ended: a change that discovery has when the call begins counts against the node from
+    /// [`NOTIFIED_AFTER`] after that time on.
     pub fn pause_after_failure(&mut self, call_time: Duration) -> Duration {
         self.limited_pause(NOTIFIED_AFTER.saturating_sub(RETRY_RESPONSE_TIME + call_time))
     }
 
-    /// The pause after a call that failed before discovery has sent its first list, at the start or after a move.
+    /// Returns the pause after a call that failed before discovery has sent its first list, at the start or
+    /// after a move.
     pub fn pause_before_first_list(&mut self) -> Duration {
         self.limited_pause(MAX_PAUSE_BEFORE_FIRST_LIST)
     }
 
-    /// A call succeeded: the next pause is the first again.
+    /// Restarts from the first pause, after a call that has succeeded.
     pub(super) fn reset(&mut self) {
         self.backoff.reset();
     }
 
-    /// The next pause, at most `max_pause`. Pauses cut off at one length would bring all nodes into step, so the last
-    /// part of a limited one is drawn at random.
+    /// Returns the next pause, which is at most `max_pause`. If all long pauses were cut to the same length,
+    /// all nodes would call in step, so the last part of a pause that reaches the limit is drawn at random.
     fn limited_pause(&mut self, max_pause: Duration) -> Duration {
         let pause = self.backoff.next_pause();
         if pause < max_pause {
--- a/src/net/discovery/snapshot.rs
+++ b/src/net/discovery/snapshot.rs
@@ -1,4 +1,5 @@
-//! What a full list, or a long delta, makes of the endpoints known before, worked out beside them.
+//! Applies a full list or a long delta to the endpoints known before, and builds the new endpoints without
+//! changing the known ones.
 
 use std::net::SocketAddr;
 
@@ -7,79 +8,81 @@
 use crate::net::discovery::labels::PlacementLabels;
 use crate::net::discovery::parser::{ListEntry, ListFaults};
 
-/// How a full list differs from the endpoints known before.
+/// The numbers of endpoints by which a full list differs from the endpoints known before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ListDifference {
-    /// Endpoints of which nothing has changed.
+    /// The number of endpoints that are listed as before.
     pub unchanged: usize,
-    /// Those of which something has.
+    /// The number of endpoints whose address or attributes have changed.
     pub changed: usize,
-    /// Those not known before.
+    /// The number of endpoints that were not known before.
     pub added: usize,
-    /// Those known before and not on the list.
+    /// The number of endpoints that were known before and are not on the list.
     pub removed: usize,
 }
 
-/// A list applied to the endpoints known before.
+/// The result of applying a list to the endpoints known before.
 pub struct AppliedList {
-    /// The endpoints known from now on.
+    /// The endpoints known after the list.
     pub endpoints: Endpoints,
-    /// The list's entries, one for each name; those of a full list in the order of ids.
+    /// The entries of which the decision engine is notified: those of a full list one for each name, in the
+    /// order of ids; those of a delta in the order of the delta.
     pub entries: Vec<EndpointEntry>,
-    /// Endpoints whose connections may lead elsewhere now, though it does not show in `endpoints`.
+    /// Endpoints whose existing connections may not lead to the process that is listed now, where this cannot
+    /// be derived from `endpoints`.
     pub stale: Vec<EndpointId>,
-    /// How a full list differs from the endpoints known before; zero for a delta.
+    /// The difference of a full list from the endpoints known before; all zero for a delta.
     pub difference: ListDifference,
-    /// What was wrong with entries.
+    /// The faults found in entries.
     pub faults: ListFaults,
 }
 
 /// The last entry of a full list for one name.
 struct NamedEntry<'a> {
-    /// The id that the name gives.
-    own_id: EndpointId,
+    /// The id derived from the name.
+    derived_id: EndpointId,
     entry: &'a ListEntry,
-    /// The last usable address of all entries for the name.
+    /// The last usable address among all entries for the name.
     address: Option<SocketAddr>,
 }
 
 impl Endpoints {
-    /// These endpoints with a delta applied.
+    /// Returns these endpoints with a delta applied.
     pub fn with_delta(&self, entries: &[ListEntry], labels: &PlacementLabels) -> AppliedList {
         let mut endpoints = self.clone();
         let AppliedEntries { entries, stale, faults } = endpoints.apply_entries(entries, labels);
         AppliedList { endpoints, entries, stale, difference: ListDifference::default(), faults }
     }
 
-    /// The endpoints of a full list. Of two entries for one name the later counts, and endpoints known before keep
-    /// their ids.
+    /// Returns the endpoints of a full list. If a name has several entries, the last one counts. Endpoints
+    /// that are known already keep their ids.
     pub fn with_snapshot(&self, entries: &[ListEntry], labels: &PlacementLabels) -> AppliedList {
         let mut snapshot = SnapshotBuilder::new(self, labels, entries.len());
         let mut unknown = Vec::new();
         for named in self.last_entries_by_name(entries) {
-            match self.find_with_own_id(&named.entry.name, named.own_id) {
+            match self.find_by_derived_id(&named.entry.name, named.derived_id) {
                 Some(id) => snapshot.add(&named, Some(id)),
                 None => unknown.push(named),
             }
         }
-        // Added last, so that no new name gets the id that a known one has.
+        // Unknown endpoints are added last, so that none of them takes the id of a known one.
         for named in &unknown {
             snapshot.add(named, None);
         }
         snapshot.finish()
     }
 
-    /// The last entry for each name, in the order of own ids and names.
+    /// Returns the last entry for each name, in the order of derived ids and then of names.
     fn last_entries_by_name<'a>(&self, entries: &'a [ListEntry]) -> Vec<NamedEntry<'a>> {
         let named = |entry: &'a ListEntry| NamedEntry {
-            own_id: (self.id_function)(&entry.name),
+            derived_id: (self.id_function)(&entry.name),
             entry,
             address: entry.address,
         };
         let mut ordered: Vec<_> = entries.iter().map(named).collect();
-        // A stable sort: entries for one name stay in the order of the list.
+        // The sort is stable, so entries for one name stay in the order of the list.
         ordered.sort_by(|left, right| {
-            left.own_id.cmp(&right.own_id).then_with(|| left.entry.name.cmp(&right.entry.name))
+            left.derived_id.cmp(&right.derived_id).then_with(|| left.entry.name.cmp(&right.entry.name))
         });
         ordered.dedup_by(|later, kept| {
             let is_same_name = later.entry.name == kept.entry.name;
@@ -115,11 +118,11 @@
         }
     }
 
-    /// Adds the entry for one name, under the id that it had before, if any.
+    /// Adds the entry for one name. `known_id` is the endpoint's id in `previous`, or `None` if it is new.
     fn add(&mut self, named: &NamedEntry<'_>, known_id: Option<EndpointId>) {
         let entry = named.entry;
         let old = known_id.and_then(|id| self.previous.get(id));
-        let id = known_id.unwrap_or_else(|| self.next.free_id(named.own_id, self.previous));
+        let id = known_id.unwrap_or_else(|| self.next.free_id(named.derived_id, self.previous));
         let attributes = Attributes::of(entry, self.labels);
         if entry.state == EndpointState::Removed {
             if known_id.is_some() {
@@ -128,7 +131,7 @@
             return;
         }
         let Some(address) = named.address.or(old.map(|old| old.address)) else {
-            self.faults.add(format_args!("{} has no usable address; entry left out", entry.name));
+            self.faults.add(format_args!("endpoint {} has no usable address; entry skipped", entry.name));
             return;
         };
         self.entries.push(attributes.entry(id));
@@ -139,7 +142,7 @@
             Some(old) if *old == endpoint => self.difference.unchanged += 1,
             Some(_) => self.difference.changed += 1,
         }
-        self.next.insert(id, named.own_id, endpoint);
+        self.next.insert(id, named.derived_id, endpoint);
     }
 
     fn finish(mut self) -> AppliedList {
--- a/src/net/discovery/timeout.rs
+++ b/src/net/discovery/timeout.rs
@@ -1,4 +1,4 @@
-//! How long a call to discovery waits for its response.
+//! Limits how long a call to discovery waits for its response.
 
 use std::future::Future;
 use std::pin::pin;
@@ -6,66 +6,72 @@
 
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// From this time on after discovery has a change, a change that the node missed counts against the node, whether or
-/// not it has arrived. So no spread of calls is longer, however many the nodes.
+/// The time after which a node counts as notified of a change that discovery has. From then on a change that
+/// the node has missed counts against the node, whether or not the change has arrived there. The calls of all
+/// nodes are therefore spread over at most this time, however many nodes there are.
 pub const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
-/// The same after a move: from this time on after SIGHUP, a change that the new address has and the node missed counts
-/// against the node.
+/// The same time after a move, counted from SIGHUP: from then on a change that discovery at the new address
+/// has, and that the node has missed, counts against the node.
 pub const NOTIFIED_AFTER_MOVE: Duration = Duration::from_secs(4);
-/// How long the response takes to a call that is made again after one that failed. What that one missed counts
-/// against the node from [`NOTIFIED_AFTER`] after it began, so the pause ends this much earlier.
+/// The time allowed for the response to the retry of a failed call. A change that the failed call missed
+/// counts against the node from [`NOTIFIED_AFTER`] after that call began, so the pause before the retry ends
+/// earlier by this time.
 pub const RETRY_RESPONSE_TIME: Duration = Duration::from_millis(400);
-/// How long a watch waits at discovery for a change, in milliseconds.
+/// How long discovery holds a watch open while there is no change, in milliseconds.
 pub(super) const WATCH_WAIT_MS: u64 = 4_000;
-/// How much later the response to a watch counts as lost.
+/// The time after [`WATCH_WAIT_MS`] at which the response to a watch counts as lost.
 const WATCH_GRACE: Duration = Duration::from_millis(1_000);
-/// How long a watch may be without a response in all: less than [`NOTIFIED_AFTER`], so that a watch on a dead
-/// connection ends before the changes that it misses count against the node.
+/// How long a watch may remain without a response in total. This is less than [`NOTIFIED_AFTER`], so that a
+/// watch on a dead connection ends before the changes that it misses count against the node.
 pub const WATCH_TIMEOUT: Duration = Duration::from_millis(WATCH_WAIT_MS).saturating_add(WATCH_GRACE);
-/// How long a fetch of the full list may be without a response.
+/// How long a fetch of the full list may remain without a response.
 pub const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a call for the first list, at the start or after a move, may be without a response. Several such calls
-/// fit into [`NOTIFIED_AFTER_MOVE`].
+/// How long a call for the first list, at the start or after a move, may remain without a response. Several
+/// such calls fit into [`NOTIFIED_AFTER_MOVE`].
 pub const FIRST_CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// A response that has begun to arrive may pass these time-outs while no pause in it is longer than this. A long list
-/// on a busy core takes its time, and a call that is ended and made again takes it twice.
+/// The longest pause within a response that extends a timeout: a response that has begun to arrive may exceed
+/// its timeout while no pause in it is longer than this. On a busy core a long list takes a long time to
+/// arrive, and a call that is ended and retried takes that time twice.
 pub const MAX_RESPONSE_PAUSE: Duration = Duration::from_millis(250);
-/// By how much a response may pass the time-outs at most. The first response after a move has arrived within
-/// [`NOTIFIED_AFTER_MOVE`] even so.
+/// The longest extension of a timeout. Even with it, the first response after a move arrives within
+/// [`NOTIFIED_AFTER_MOVE`].
 pub const MAX_TIMEOUT_EXTENSION: Duration = Duration::from_millis(2_500);
-/// Where the thread was busy for longer than a time-out, the time-out passes before what has arrived is read. The
-/// work gets this much more time then.
+/// The additional time for work whose deadline has passed. If the thread was busy for longer than the
+/// timeout, the timeout expires before data that has already arrived is read.
 const LATE_READ_TIME: Duration = Duration::from_millis(10);
 
-/// The time-out of one call, which is extended while its response arrives.
+/// The timeout of one call, which is extended while its response arrives.
 #[derive(Clone, Copy)]
 pub struct WatchTimeout {
     deadline: Instant,
-    /// By how much a response that is arriving may pass the deadline. A call that ended any later than leaves time
-    /// for the response to the next one would miss changes that count against the node by then.
+    /// The longest extension of the deadline while a response is arriving. If a call ended later than that,
+    /// the response to the next call would arrive too late: the changes that it brings would already count
+    /// against the node.
     max_extension: Duration,
 }
 
 impl WatchTimeout {
-    /// For a call begun at this time that may be without a response for `wait`.
+    /// Creates the timeout of a call that began at `began_at` and may remain without a response for `wait`.
     pub fn new(began_at: Instant, wait: Duration) -> Self {
         let time_left = NOTIFIED_AFTER.saturating_sub(RETRY_RESPONSE_TIME + wait);
         WatchTimeout { deadline: began_at + wait, max_extension: MAX_TIMEOUT_EXTENSION.min(time_left) }
     }
 
-    /// When the call ends if nothing arrives.
+    /// Returns when the call ends if no response arrives.
     pub fn deadline(self) -> Instant {
         self.deadline
     }
 
-    /// When the call ends if some of the response has arrived at this time and nothing more does.
+    /// Returns when the call ends if a part of the response has arrived at `arrived_at` and nothing more
+    /// follows.
     pub fn deadline_after_bytes(self, arrived_at: Instant) -> Instant {
         let extended = self.deadline.max(arrived_at + MAX_RESPONSE_PAUSE);
         extended.min(self.deadline + self.max_extension)
     }
 }
 
-/// The result of some work, unless it is not done by the deadline.
+/// Returns the result of `work`, or `None` if it is not complete within [`LATE_READ_TIME`] after the deadline
+/// has expired.
 pub(super) async fn finish_by<F: Future>(deadline: Instant, work: F) -> Option<F::Output> {
     let mut work = pin!(work);
     match timeout_at(deadline, work.as_mut()).await {
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! The watch of the endpoint list, which never ends, and single fetches of the full list.
+//! Keeps a watch of the endpoint list running, and fetches the full list on request.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use crate::decision::{EndpointUpdateKind, Event};
 use crate::net::discovery::apply::{ApplyOutcome, ListApplier, ReceivedList};
 use crate::net::discovery::directory::EndpointDirectory;
-use crate::net::discovery::error::{DiscoveryError, WithCauses};
+use crate::net::discovery::error::{DiscoveryError, ErrorChain};
 use crate::net::discovery::labels::PlacementLabels;
 use crate::net::discovery::list_client::ListClient;
 use crate::net::discovery::parser::EndpointList;
@@ -20,18 +20,18 @@
 use crate::net::event_sink::EventSink;
 use crate::net::http_client::HttpConnection;
 
-/// Where discovery serves the endpoint list.
+/// The path at which discovery serves the endpoint list.
 const LIST_PATH: &str = "/discovery/hosts";
-/// The pause after a call that returned at once without a change. A watch that does not wait would keep the core
-/// busy.
+/// The pause after a call that returned in less than this time without a change. Without it, a discovery that
+/// responds to watches at once would keep the core busy.
 const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What one call of the watch brought.
+/// The result of one successful call of the watch.
 #[derive(Clone, Copy, PartialEq)]
 enum WatchResult {
-    /// A list that was applied.
+    /// The response contained a list that was applied.
     Updated,
-    /// Nothing that was not known.
+    /// The response contained no change, or only changes that are known already.
     Unchanged,
 }
 
@@ -44,7 +44,7 @@
 }
 
 impl Discovery {
-    /// A client of discovery at this address, whose lists go into this directory.
+    /// Creates a client of discovery at this address, which stores the lists in this directory.
     pub fn new(
         address: SocketAddr,
         directory: Rc<dyn EndpointDirectory>,
@@ -59,18 +59,19 @@
         })
     }
 
-    /// Applies the list that the node had before its start, and watches from there on for ever. With such a list the
-    /// first call is delayed by the schedule.
+    /// Applies the list that the node has from its configuration, and starts the watch. If that list has
+    /// entries, the first call is delayed by the schedule.
     pub fn start(self: &Rc<Self>, events: &Rc<dyn EventSink>, known: EndpointList) {
         let delay =
             if known.is_empty() { Duration::ZERO } else { self.schedule.borrow_mut().first_call_delay() };
-        // At once, however long: no request waits yet.
+        // The list is applied on this thread even if it is long, because no request is waiting yet.
         self.applier.apply_inline(events.as_ref(), &known, EndpointUpdateKind::StaleSnapshot);
         self.spawn_watch(events, delay);
     }
 
-    /// Goes on with discovery at this address. Its versions have nothing to do with those at the old address, so it is
-    /// asked for the full list first, and what the old address still sends is dropped with its watch.
+    /// Continues with discovery at this address. Its versions are unrelated to those at the old address, so
+    /// its full list is requested first. The watch at the old address is aborted, and its responses are
+    /// dropped.
     pub fn move_to(self: &Rc<Self>, events: &Rc<dyn EventSink>, address: SocketAddr) {
         if self.client.address.replace(address) != address {
             self.applier.discovery_moved();
@@ -78,33 +79,37 @@
         }
     }
 
-    /// Returns once discovery has sent what it holds.
+    /// Waits until discovery has sent its first list or confirmed the known one. Returns at once if it has
+    /// done so since the start.
     pub async fn first_snapshot_received(&self) {
         self.applier.first_snapshot_received().await;
     }
 
-    /// Fetches the full list once.
+    /// Starts one fetch of the full list. If the fetch fails and discovery has not moved meanwhile, the
+    /// failure is logged and the decision engine is notified with [`EndpointUpdateKind::WatchLost`].
     pub fn fetch(self: &Rc<Self>, events: Rc<dyn EventSink>) {
         let discovery = self.clone();
-        let moves = self.applier.moves();
+        let move_count = self.applier.move_count();
         spawn_local(async move {
-            let Err(error) = discovery.fetch_once(&events, moves).await else { return };
-            if discovery.applier.moves() != moves {
+            let Err(error) = discovery.fetch_once(&events, move_count).await else { return };
+            if discovery.applier.move_count() != move_count {
                 return;
             }
-            discovery.log_failure(&error, "the watch goes on");
+            discovery.log_failure(&error, "the watch continues");
             let kind = EndpointUpdateKind::WatchLost;
             events.send(Event::EndpointsUpdated { kind, entries: Vec::new() });
         });
     }
 
-    /// Fetches the full list and applies it, unless discovery has moved since `moves` or the watch has brought
-    /// something newer meanwhile. The watch asks the new address for its full list anyway.
-    async fn fetch_once(&self, events: &Rc<dyn EventSink>, moves: u64) -> Result<(), DiscoveryError> {
+    /// Fetches the full list and applies it, unless discovery has moved since the count of moves was
+    /// `move_count` or the watch has applied a newer list meanwhile. After a move the watch requests the full
+    /// list of the new address in any case.
+    async fn fetch_once(&self, events: &Rc<dyn EventSink>, move_count: u64) -> Result<(), DiscoveryError> {
         let received = self.client.call(&mut None, LIST_PATH, FETCH_TIMEOUT).await?;
-        // Moves are counted: after two of them the address may be the same again.
+        // The number of moves is compared instead of the address, which may be the same again after two
+        // moves.
         let is_outdated =
-            self.applier.moves() != moves || Some(received.list.version) < self.applier.version();
+            self.applier.move_count() != move_count || Some(received.list.version) < self.applier.version();
         if !is_outdated {
             self.apply(events, received, EndpointUpdateKind::Snapshot).await?;
         }
@@ -123,7 +128,8 @@
         }
     }
 
-    /// Calls discovery again and again, with pauses after failures. Of failures in a row only the first is logged.
+    /// Calls discovery repeatedly, with a pause after each failure. Of consecutive failures only the first is
+    /// logged.
     async fn watch(&self, events: &Rc<dyn EventSink>) {
         let mut connection = None;
         let mut is_failing = false;
@@ -158,7 +164,8 @@
         }
     }
 
-    /// One long poll for changes since the version applied last; without one, a call for the full list.
+    /// Makes one call: a long poll for changes since the version applied last, or a request for the full list
+    /// if no version is known.
     async fn watch_once(
         &self,
         connection: &mut Option<HttpConnection>,
@@ -174,7 +181,7 @@
         self.apply_watched(events, received).await
     }
 
-    /// Applies what a watch has brought, if it is new.
+    /// Applies the list in the response to a watch, if it is new.
     async fn apply_watched(
         &self,
         events: &Rc<dyn EventSink>,
@@ -189,7 +196,7 @@
             EndpointUpdateKind::Delta
         };
         let has_no_change = kind == EndpointUpdateKind::Delta && list.is_empty();
-        // A fetch may have brought a newer list meanwhile; an older delta would undo it.
+        // A fetch may have applied a newer list meanwhile, and an older delta would undo its changes.
         let is_outdated = kind == EndpointUpdateKind::Delta && Some(version) < known_version;
         if !has_no_change && !is_outdated {
             let outcome = self.apply(events, received, kind).await?;
@@ -197,8 +204,8 @@
                 return Ok(WatchResult::Updated);
             }
         }
-        // A version that brings no change is still the one to watch from.
-        self.applier.note_version(version);
+        // The next watch starts from this version, though it contains no change.
+        self.applier.record_version(version);
         Ok(WatchResult::Unchanged)
     }
 
@@ -213,6 +220,6 @@
 
     fn log_failure(&self, error: &DiscoveryError, consequence: &str) {
         let address = self.client.address.get();
-        eprintln!("edge-node: discovery at {address}: {}; {consequence}", WithCauses(error));
+        eprintln!("edge-node: discovery at {address}: {}; {consequence}", ErrorChain(error));
     }
 }
--- a/tests/endpoint_lists/delta.rs
+++ b/tests/endpoint_lists/delta.rs
@@ -1,4 +1,4 @@
-//! The deltas by which the decisions are notified of long lists.
+//! Tests of the deltas by which the decision engine is notified of long lists.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -7,7 +7,7 @@
     AccountId, Action, DecisionEngine, EndpointEntry, EndpointId, EndpointState, EndpointUpdateKind, Event,
     Limits, NewRequest, Plan, RequestClass, RequestId, Settings,
 };
-use edge_node::net::discovery::delta::{parts, ENTRIES_PER_PART};
+use edge_node::net::discovery::delta::{split_into_parts, ENTRIES_PER_PART};
 use edge_node::net::discovery::endpoints::{Endpoint, Endpoints};
 use edge_node::net::discovery::labels::PlacementLabels;
 use fastrand::Rng;
@@ -15,10 +15,11 @@
 
 use crate::lists::{all_up, id, name, numbered, read, with_snapshot, LONGEST, SIZES};
 
-/// The time of all events here, in microseconds.
+/// The time of all events in these tests, in microseconds.
 const NOW: u64 = 1_000_000;
 
-/// A list with weights, zones, starts and states drawn at random, so that few entries stay as they were.
+/// Returns entries whose weights, zones, cells, starts and states are drawn at random, so that few entries
+/// stay unchanged from one list to the next.
 fn random_list(random: &mut Rng, max_number: usize) -> Vec<Value> {
     let statuses = ["up", "up", "up", "draining", "removed"];
     let count = random.usize(..2 * max_number);
@@ -34,7 +35,7 @@
     entries
 }
 
-/// The decisions of the only node, which may send requests to all endpoints.
+/// Creates the decision engine of a fleet's only node, which may send requests to all endpoints.
 fn engine_of_only_node() -> DecisionEngine {
     let class =
         RequestClass { latency_objective: 1 << 40, total_timeout: 1 << 41, ..RequestClass::default() };
@@ -52,7 +53,7 @@
     engine.handle(NOW, Event::EndpointsUpdated { kind, entries }, &mut Vec::new());
 }
 
-/// The endpoints that the decisions send requests to, where no response arrives.
+/// Returns the endpoints to which the engine sends this many requests while no response arrives.
 fn endpoints_used(engine: &mut DecisionEngine, requests: usize) -> BTreeSet<EndpointId> {
     let mut actions = Vec::new();
     for number in 0..requests {
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn parts_of_a_delta_lead_the_decisions_to_the_same_state_as_the_snapshot() {
+fn delta_in_parts_and_snapshot_give_the_same_engine_state() {
     let labels = PlacementLabels::new(vec!["a".into(), "b".into()], vec!["m1".into()]);
     for seed in 0..60 {
         let mut random = Rng::with_seed(seed);
@@ -94,7 +95,8 @@
             }
             assert_eq!(by_deltas.retained_entries(), by_snapshots.retained_entries());
             assert_eq!(by_deltas.retained_entries().endpoints, next.endpoints.len());
-            // The snapshot finds nothing left that differs, beside endpoints that it names as removed once more.
+            // A snapshot of the listed endpoints changes nothing after the delta. Entries of removed
+            // endpoints are left out, because the engine counts them as changes.
             let entries_changed = by_deltas.work_counters().entries_changed;
             let is_listed = |entry: &EndpointEntry| entry.state != EndpointState::Removed;
             let listed = next.entries.into_iter().filter(is_listed).collect();
@@ -112,12 +114,12 @@
 }
 
 #[test]
-fn delta_of_any_size_holds_what_has_changed_for_the_decisions_and_nothing_else() {
+fn delta_contains_exactly_the_changes_visible_to_the_decision_engine() {
     for size in SIZES {
         let mut entries = all_up(0..size);
         let first = with_snapshot(&Endpoints::default(), &entries).endpoints;
         assert!(first.delta_since(&with_snapshot(&first, &entries).endpoints).is_empty());
-        // The decisions do not know addresses.
+        // Addresses are not part of the delta, because the decision engine does not use them.
         entries[3]["address"] = json!("127.0.0.1:9");
         entries[4]["zone"] = json!("z");
         entries[5]["type"] = json!("m2");
@@ -131,8 +133,11 @@
         let ids: BTreeSet<_> = delta.iter().map(|entry| entry.id).collect();
         assert_eq!(ids, (4..10).chain([20, size]).map(id).collect());
         assert_eq!(delta.len(), 8);
-        let entry = delta.iter().find(|entry| entry.state == EndpointState::Removed).expect("a removed one");
-        let cell = removed["group"].as_u64().expect("a cell") as u32;
+        let entry = delta
+            .iter()
+            .find(|entry| entry.state == EndpointState::Removed)
+            .expect("delta should contain a removed endpoint");
+        let cell = removed["group"].as_u64().expect("entry should have a cell") as u32;
         assert_eq!(entry.id, id(20));
         assert_eq!(entry.zone, 0);
         assert_eq!(entry.cell, cell);
@@ -149,7 +154,7 @@
 }
 
 #[test]
-fn parts_of_a_delta_are_short_and_never_leave_fewer_active_than_before_or_after() {
+fn delta_parts_are_bounded_and_never_leave_too_few_active_endpoints() {
     let all_replaced = Change { before: all_up(0..LONGEST), after: all_up(LONGEST..2 * LONGEST) };
     let half_drain_half_removed =
         Change { before: all_up(0..4000), after: [draining(0..2000), all_up(4000..8000)].concat() };
@@ -157,15 +162,15 @@
         before: [all_up(0..2000), draining(2000..4000)].concat(),
         after: [draining(0..2000), all_up(2000..4000)].concat(),
     };
-    let few_stay =
+    let most_removed =
         Change { before: all_up(0..4000), after: [draining(0..2000), all_up(5000..5100)].concat() };
-    for change in [all_replaced, half_drain_half_removed, draining_and_active_swapped, few_stay] {
+    for change in [all_replaced, half_drain_half_removed, draining_and_active_swapped, most_removed] {
         let before = with_snapshot(&Endpoints::default(), &change.before).endpoints;
         let after = with_snapshot(&before, &change.after).endpoints;
         let mut active: BTreeSet<_> = before.active_ids().collect();
         let fewest = active.len().min(after.active_ids().count());
         let delta = after.delta_since(&before);
-        let parts = parts(&delta);
+        let parts = split_into_parts(&delta);
         assert!(parts.iter().all(|part| (1..=ENTRIES_PER_PART).contains(&part.len())));
         assert_eq!(parts.len(), delta.len().div_ceil(ENTRIES_PER_PART));
         for entry in parts.concat() {
@@ -174,7 +179,7 @@
             } else {
                 active.remove(&entry.id);
             }
-            assert!(active.len() >= fewest, "{} active, {fewest} at one end", active.len());
+            assert!(active.len() >= fewest, "{} endpoints active, expected at least {fewest}", active.len());
         }
         assert_eq!(active, after.active_ids().collect());
     }
--- a/tests/endpoint_lists/main.rs
+++ b/tests/endpoint_lists/main.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists: how they are read and applied, up to the longest expected.
+//! Tests of how endpoint lists are parsed and applied, up to the longest list expected.
 
 #[path = "../fakes/mod.rs"]
 mod fakes;
--- a/tests/endpoint_lists/node.rs
+++ b/tests/endpoint_lists/node.rs
@@ -1,4 +1,4 @@
-//! A node within the test process, and an agent that the test answers for.
+//! Runs a node within the test process, and an agent whose responses are sent by the test.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -27,25 +27,26 @@
 use crate::fakes::{node_settings, FakeEndpoint, ReceivedRequest, TEST_TIMEOUT};
 use crate::lists::{id, labels, name};
 
-/// Turns of the runtime in which what was sent on a loopback connection has been read.
-const TURNS: usize = 20;
-/// How long an attempt may take, in microseconds.
+/// The number of yields to the runtime after which data sent on a loopback connection has been read.
+const YIELD_COUNT: usize = 20;
+/// The time limit of an attempt, in microseconds.
 const ATTEMPT_TIME: u64 = 20_000_000;
 
-/// A node in this process that knows nothing yet.
+/// A node in the test process.
 pub struct Node {
-    /// Its event loop.
+    /// The node's event loop.
     pub event_loop: Rc<EventLoop>,
-    /// Its client of discovery.
+    /// The node's client of discovery.
     pub discovery: Rc<Discovery>,
-    /// Where discovery sends its events: the event loop.
+    /// The receiver of discovery's events, which is the event loop.
     pub events: Rc<dyn EventSink>,
 }
 
 impl Node {
-    /// A node that calls this agent once it is started.
+    /// Creates a node that knows no endpoints. It calls this agent once its discovery is started.
     pub fn new(agent: &FakeEndpoint) -> Node {
-        let document: SettingsDocument = serde_json::from_value(node_settings()).expect("settings");
+        let document: SettingsDocument =
+            serde_json::from_value(node_settings()).expect("settings document should be valid");
         let settings = Settings::from(document);
         let schedule = WatchSchedule::new(1, settings.node_count, false);
         let upstreams = Upstreams::new(DescriptorBudget::new(64), 250_000, 10_000_000);
@@ -56,34 +57,34 @@
         Node { events: event_loop.clone(), event_loop, discovery }
     }
 
-    /// A node that watches at this agent.
+    /// Creates a node whose watch at this agent is started.
     pub fn started(agent: &FakeEndpoint) -> Node {
         let node = Node::new(agent);
         node.discovery.start(&node.events, EndpointList::default());
         node
     }
 
-    /// Its connections to endpoints and the endpoints that it knows.
+    /// Returns the node's connections to endpoints, together with the endpoints that it knows.
     pub fn upstreams(&self) -> &Upstreams {
         &self.event_loop.upstreams
     }
 
-    /// The endpoints that it knows.
+    /// Returns the endpoints that the node knows.
     pub fn endpoints(&self) -> Arc<Endpoints> {
         self.upstreams().endpoints()
     }
 
-    /// Whether it knows the endpoint of this number.
+    /// Returns whether the node knows the endpoint of this number.
     pub fn knows(&self, number: usize) -> bool {
         self.endpoints().find(&name(number)).is_some()
     }
 
-    /// Whether a list was published in part.
+    /// Returns whether a list is published in part but not completely.
     pub fn is_publishing(&self) -> bool {
         self.upstreams().is_replacing_endpoints()
     }
 
-    /// Responds to watches from this version with this list until a part of it was published.
+    /// Responds to watches from this version with this list, until the first part of the list is published.
     pub async fn publish_first_part(&self, agent: &FakeEndpoint, version: u64, list: &str) {
         until(|| {
             if let Some(call) = watch_from(agent, version) {
@@ -94,24 +95,25 @@
         .await;
     }
 
-    /// Goes on until all parts were published; returns in how many turns.
-    pub async fn publish_the_rest(&self) -> usize {
-        let mut turns = 0;
+    /// Waits until all parts are published, and returns the number of checks, with one yield to the runtime
+    /// between two of them.
+    pub async fn publish_remaining_parts(&self) -> usize {
+        let mut checks = 0;
         until(|| {
-            turns += 1;
-            (!self.is_publishing()).then_some(turns)
+            checks += 1;
+            (!self.is_publishing()).then_some(checks)
         })
         .await
     }
 
-    /// The outcomes of attempts at the endpoints of these numbers. Each of the fake endpoints receives and answers the
-    /// given number of them.
+    /// Starts an attempt at each of the endpoints of these numbers and returns their outcomes. Each fake
+    /// endpoint in `served` receives and answers the given number of requests.
     pub async fn attempts(&self, numbers: &[usize], served: &[(&FakeEndpoint, usize)]) -> Vec<Outcome> {
         let mut attempts = Vec::new();
         for &number in numbers {
             attempts.push(spawn_local(attempt(self.event_loop.clone(), number)));
         }
-        some_turns().await;
+        yield_repeatedly().await;
         for &(endpoint, count) in served {
             for _ in 0..count {
                 endpoint.next_request().respond_ok("ok");
@@ -119,7 +121,7 @@
         }
         let mut outcomes = Vec::new();
         for attempt in attempts {
-            outcomes.push(attempt.await.expect("no panic"));
+            outcomes.push(attempt.await.expect("attempt should not panic"));
         }
         outcomes
     }
@@ -140,50 +142,51 @@
     result.outcome
 }
 
-/// Runs a test on a runtime like the edge node's.
-pub fn on_one_thread(test: impl Future<Output = ()>) {
+/// Runs a test on a single-threaded runtime like that of the edge node.
+pub fn on_local_runtime(test: impl Future<Output = ()>) {
     let mut builder = Builder::new_current_thread();
-    let runtime = builder.enable_all().build_local(LocalOptions::default()).expect("a runtime");
+    let runtime = builder.enable_all().build_local(LocalOptions::default()).expect("runtime should start");
     runtime.block_on(test);
 }
 
-/// Lets the node's tasks run until this returns something.
+/// Yields to the node's tasks until `check` returns a value, and returns that value.
 pub async fn until<T>(mut check: impl FnMut() -> Option<T>) -> T {
     let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
         if let Some(found) = check() {
             return found;
         }
-        assert!(Instant::now() < deadline, "not in time");
+        assert!(Instant::now() < deadline, "condition not met within {TEST_TIMEOUT:?}");
         yield_now().await;
     }
 }
 
-/// Lets the node's tasks run for some turns of the runtime.
-pub async fn some_turns() {
-    for _ in 0..TURNS {
+/// Yields to the node's tasks [`YIELD_COUNT`] times.
+pub async fn yield_repeatedly() {
+    for _ in 0..YIELD_COUNT {
         yield_now().await;
     }
 }
 
-/// Whether a call watches from this version.
+/// Returns whether a call is a watch from this version.
 pub fn is_watch_from(call: &ReceivedRequest, version: u64) -> bool {
     call.message.first.contains(&format!("after={version}&"))
 }
 
-/// Whether a call fetches the full list.
+/// Returns whether a call requests the full list.
 pub fn is_fetch(call: &ReceivedRequest) -> bool {
     !call.message.first.contains("after=")
 }
 
-/// The next watch from this version, if it has arrived by now.
+/// Returns the agent's next call if it has arrived and is a watch from this version.
 pub fn watch_from(agent: &FakeEndpoint, version: u64) -> Option<ReceivedRequest> {
     agent.poll_request().filter(|call| is_watch_from(call, version))
 }
 
-/// The next call, which the node may still have to make. Its reader's thread is waited for while no part is published.
+/// Returns the agent's next call, which the node may not have sent yet. Waiting for the agent's reader thread
+/// blocks the node, so no further part of a list is published meanwhile.
 pub async fn next_call(agent: &FakeEndpoint) -> ReceivedRequest {
-    for _ in 0..TURNS {
+    for _ in 0..YIELD_COUNT {
         if let Some(call) = agent.poll_request() {
             return call;
         }
@@ -192,17 +195,17 @@
     agent.next_request()
 }
 
-/// Sends a response on a thread of its own: a long one does not fit into a socket.
+/// Sends a response on another thread, because a long one does not fit into the socket's buffer.
 pub fn send(call: ReceivedRequest, response: String) -> JoinHandle<()> {
     std::thread::spawn(move || call.send_raw(response.as_bytes()))
 }
 
-/// Waits until the endpoints are held by another thread, too: then a list is being prepared beside them.
+/// Waits until a list is being prepared against these endpoints, which shows in a second reference to them.
 pub async fn until_preparing(endpoints: &Weak<Endpoints>) {
     until(|| (endpoints.strong_count() > 1).then_some(())).await;
 }
 
-/// Waits until no list is being prepared beside the endpoints any more.
+/// Waits until no list is being prepared against these endpoints any more.
 pub async fn until_prepared(endpoints: &Weak<Endpoints>) {
     until(|| (endpoints.strong_count() <= 1).then_some(())).await;
 }
--- a/tests/endpoint_lists/process.rs
+++ b/tests/endpoint_lists/process.rs
@@ -1,4 +1,5 @@
-//! Long lists and shared addresses at a node as a process, with an agent that the test answers for.
+//! Tests of long lists and shared addresses with a node process and an agent whose responses are sent by the
+//! test.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,25 +14,25 @@
 use crate::lists::{longest_list, snapshot};
 use crate::snapshot::COLLIDING_NAMES;
 
-/// Longer than a connection stays unused after a response.
+/// Longer than the time for which a connection is not reused after a response.
 const AFTER_MIN_IDLE: Duration = Duration::from_millis(30);
 
-/// A node as a process, its agent and its configuration.
+/// A node process, its agent and its configuration.
 struct Node {
     edge: EdgeProcess,
     agent: FakeEndpoint,
     configuration: NodeConfiguration,
 }
 
-/// A node that knows these entries.
+/// Starts a node that is configured with these entries.
 fn start(entries: &[Value]) -> Node {
     let agent = FakeEndpoint::start();
     let configuration = NodeConfiguration::new(entries).discovery(agent.address);
     Node { edge: configuration.start(), agent, configuration }
 }
 
-/// Responds with this list to watches from one version, until the node watches from the other. On a slow machine a
-/// watch may have timed out before its response was complete; the node repeats it then.
+/// Responds with this list to watches from `from_version`, until the node watches from `to_version`. On a
+/// slow machine a watch may time out before its response is complete; the node then repeats the watch.
 fn respond_until_applied(agent: &FakeEndpoint, from_version: u64, to_version: u64, list: &str) {
     let watch_from = format!("after={from_version}&");
     let watch_to = format!("after={to_version}&");
@@ -47,7 +48,8 @@
     }
 }
 
-/// Checks that the node's next request goes to this endpoint, and returns the node's address on its connection.
+/// Asserts that the node's next request goes to this endpoint, and returns the node's address on that
+/// connection.
 fn assert_served_by(endpoint: &FakeEndpoint, edge: &EdgeProcess, request_id: &str) -> SocketAddr {
     let mut client = edge.connect();
     client.send(&request("post", request_id));
@@ -59,7 +61,7 @@
 }
 
 #[test]
-fn the_longest_indented_list_is_applied_and_replaced_by_another() {
+fn longest_indented_list_is_applied_and_replaced_by_another() {
     let first = FakeEndpoint::start();
     let second = FakeEndpoint::start();
     let first_list = longest_list(2, &first);
@@ -74,13 +76,14 @@
 }
 
 #[test]
-fn long_list_received_during_a_move_of_discovery_does_not_undo_the_new_list() {
+fn long_list_received_during_a_move_does_not_replace_the_new_list() {
     let old = FakeEndpoint::start();
     let new = FakeEndpoint::start();
     let new_agent = FakeEndpoint::start();
     let list_of_old_agent = ok_response(&longest_list(9, &old));
     let Node { edge, agent, configuration } = start(&[active("s-1", old.address)]);
-    // Both the fetch and the watch: the move finds the long list on its way, half prepared or applied.
+    // The list is sent both to the fetch and to the watch, so that the move happens while the list is in
+    // transit, partly prepared or applied.
     agent.next_request().send_raw(list_of_old_agent.as_bytes());
     agent.next_request().send_raw(list_of_old_agent.as_bytes());
     edge.reload(&configuration.discovery(new_agent.address).to_text());
@@ -107,14 +110,15 @@
     std::thread::sleep(AFTER_MIN_IDLE);
     respond_until_applied(&agent, 1, 2, &snapshot(2, &known).to_string());
     let reused = assert_served_by(&endpoint, &edge, "p-2");
-    assert_eq!(reused, connection, "closed though nothing has changed");
+    assert_eq!(reused, connection, "connection was closed although its endpoint has not changed");
     std::thread::sleep(AFTER_MIN_IDLE);
-    // The first endpoint is still listed; the connection leads to it and not to the new one.
+    // The first endpoint is still listed, but the connection leads to it and not to the new endpoint, so the
+    // node must not reuse the connection.
     let both = [&known[..], &[active("s-2", endpoint.address)]].concat();
     respond_until_applied(&agent, 2, 3, &snapshot(3, &both).to_string());
     for number in 0..20 {
         let used = assert_served_by(&endpoint, &edge, &format!("q-{number}"));
-        assert_ne!(used, connection, "a connection to the endpoint that had the address before");
+        assert_ne!(used, connection, "connection opened before the address was shared was reused");
     }
 }
 
@@ -135,5 +139,5 @@
             return;
         }
     }
-    panic!("200 requests went to one of two endpoints");
+    panic!("expected both endpoints to be used, but 200 requests went to one of them");
 }
--- a/tests/endpoint_lists/snapshot.rs
+++ b/tests/endpoint_lists/snapshot.rs
@@ -1,4 +1,4 @@
-//! Full lists and deltas applied to the endpoints known before.
+//! Tests of full lists and deltas that are applied to the endpoints known before.
 
 use std::collections::BTreeSet;
 
@@ -16,7 +16,7 @@
 /// Two names with the same 32-bit FNV-1a hash.
 pub const COLLIDING_NAMES: [&str; 2] = ["s-81b30b60", "s-bc2817e4"];
 
-/// What the decisions are notified of after a delta.
+/// The ids and states of which the decision engine is notified after a delta.
 type Notified = Vec<(EndpointId, EndpointState)>;
 
 struct DeltaResult {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn snapshot_of_any_size_changes_what_differs_and_nothing_else() {
+fn snapshot_of_any_size_changes_only_endpoints_that_differ() {
     for size in SIZES {
         let mut entries = all_up(0..size);
         let first = with_snapshot(&Endpoints::default(), &entries);
@@ -45,7 +45,10 @@
         let next = with_snapshot(&first.endpoints, &entries);
         let difference = ListDifference { unchanged: size - 4, changed: 3, added: 1, removed: 1 };
         assert_eq!(next.difference, difference);
-        assert!(next.entries.windows(2).all(|pair| pair[0].id < pair[1].id), "one for each, in order");
+        assert!(
+            next.entries.windows(2).all(|pair| pair[0].id < pair[1].id),
+            "entries should be in ascending order of ids, one for each id"
+        );
         for number in (0..=size).filter(|&number| number != 10) {
             let found = next.endpoints.find(&name(number)).and_then(|id| next.endpoints.get(id));
             assert_eq!(found.map(|endpoint| &*endpoint.name), Some(&*name(number)));
@@ -60,7 +63,7 @@
     }
 }
 
-/// A delta of up to five entries with random states, starts and addresses.
+/// Returns a delta of up to five entries with random states, starts and addresses.
 fn random_delta(random: &mut Rng) -> Vec<Value> {
     let mut delta = Vec::new();
     for _ in 0..random.usize(0..6) {
@@ -74,7 +77,7 @@
     delta
 }
 
-/// The full list that names what is known.
+/// Returns the entries of a full list of the known endpoints.
 fn listed(known: &Endpoints) -> Vec<Value> {
     let ids = (0..60).filter_map(|number| known.find(&name(number)));
     let endpoints = ids.filter_map(|id| known.get(id));
@@ -98,7 +101,7 @@
         let notified: Notified = on_copy.entries.iter().map(|entry| (entry.id, entry.state)).collect();
         assert_eq!(notified, in_place.notified);
         assert_eq!(on_copy.stale, in_place.stale);
-        // The same again as a full list differs in nothing.
+        // A full list of the same endpoints contains no change.
         let all = listed(&known);
         for endpoints in [&known, &on_copy.endpoints] {
             let same = ListDifference { unchanged: all.len(), ..ListDifference::default() };
@@ -117,7 +120,8 @@
     let added = apply_delta(&mut known, &[numbered(2, "draining")]);
     assert_eq!(added.notified, [(id(2), EndpointState::Draining)]);
     assert_eq!(known.len(), 2);
-    // Where another endpoint is listed already the connections of both may lead to either.
+    // If another endpoint is already listed at the address, existing connections of both may lead to either
+    // of them.
     let mut at_known_address = numbered(3, "up");
     at_known_address["address"] = numbered(1, "up")["address"].clone();
     let added = apply_delta(&mut known, &[at_known_address]);
@@ -125,7 +129,7 @@
 }
 
 #[test]
-fn of_two_entries_for_one_name_the_later_counts() {
+fn later_of_two_entries_for_one_name_counts() {
     let mut without_address = numbered(1, "draining");
     without_address["address"] = json!("");
     let entries = [numbered(1, "up"), numbered(2, "up"), without_address];
@@ -133,14 +137,14 @@
     let states = applied.entries.iter().map(|entry| (entry.id, entry.state == EndpointState::Active));
     assert_eq!(BTreeSet::from_iter(states), BTreeSet::from([(id(1), false), (id(2), true)]));
     assert_eq!(applied.entries.len(), 2);
-    let first = applied.endpoints.get(id(1)).expect("placed by the earlier entry");
+    let first = applied.endpoints.get(id(1)).expect("endpoint should have the address of the earlier entry");
     assert!(!first.is_active() && first.address.port() == 9);
 }
 
 #[test]
-fn names_with_one_hash_have_different_ids() {
+fn names_with_the_same_fnv_1a_hash_have_different_ids() {
     let [first, second] = COLLIDING_NAMES.map(endpoint_id);
-    assert_eq!(first.0 >> 32, second.0 >> 32, "the hashes of both names");
+    assert_eq!(first.0 >> 32, second.0 >> 32, "both names should have the same FNV-1a hash");
     assert_ne!(first, second);
 }
 
@@ -154,7 +158,8 @@
 
 #[test]
 fn endpoints_never_share_an_id_and_removed_ones_free_theirs() {
-    // Where all names give one id, each endpoint has another all the same, and keeps it while it is known.
+    // If all names give the same id, each endpoint still gets an id of its own and keeps it while it is
+    // known.
     let one_id_for_all = |_: &str| EndpointId(u64::MAX);
     let mut known = with_snapshot(&Endpoints::with_id_function(one_id_for_all), &all_up([1, 2, 3])).endpoints;
     let before = ids(&known, &[1, 2, 3]);
@@ -172,7 +177,7 @@
 }
 
 #[test]
-fn one_malformed_entry_hides_no_other_and_many_do_not_fill_the_log() {
+fn malformed_entries_are_skipped_and_their_log_lines_are_limited() {
     let mut entries = all_up(0..LONGEST);
     entries[LONGEST / 2]["status"] = json!(7);
     let list = read(&entries);
@@ -187,5 +192,5 @@
     let without_address = vec![json!({"name": "s-1", "status": "up"}); 3];
     let applied = with_snapshot(&Endpoints::default(), &without_address);
     assert_eq!(applied.entries.len(), 0);
-    assert_eq!(applied.faults.count(), 1, "of one name only one entry counts");
+    assert_eq!(applied.faults.count(), 1, "a name with several entries should count as one fault");
 }
