--- a/tests/backoff.rs
+++ b/tests/backoff.rs
@@ -1,11 +1,11 @@
-//! Pauses between calls to a service that all nodes share.
+//! Tests of the pauses between calls to a service that all nodes share.
 
 use std::time::Duration;
 
 use edge_node::net::discovery::backoff::Backoff;
 
 #[test]
-fn pauses_double_to_the_longest_and_nodes_fall_out_of_step() {
+fn pauses_double_up_to_the_longest_and_differ_between_nodes() {
     let first = Duration::from_secs(1);
     let longest = Duration::from_secs(8);
     let mut totals = Vec::new();
@@ -14,7 +14,10 @@
         let pauses: Vec<Duration> = (0..6).map(|_| backoff.next_pause()).collect();
         for (pause, nominal_secs) in pauses.iter().zip([1, 2, 4, 8, 8, 8]) {
             let nominal = Duration::from_secs(nominal_secs);
-            assert!((nominal / 2..=nominal * 3 / 2).contains(pause), "{pause:?} for {nominal:?}");
+            assert!(
+                (nominal / 2..=nominal * 3 / 2).contains(pause),
+                "expected {nominal:?} within 50 percent, got {pause:?}"
+            );
         }
         totals.push(pauses.iter().sum::<Duration>());
         backoff.reset();
@@ -24,5 +27,9 @@
     totals.sort();
     let early = totals[10];
     let late = totals[90];
-    assert!(late > early + Duration::from_secs(5), "most of the nodes within {:?}", late - early);
+    assert!(
+        late > early + Duration::from_secs(5),
+        "expected 80 percent of the nodes to be spread over more than 5 s, got {:?}",
+        late - early
+    );
 }
--- a/tests/list_notification_deadline.rs
+++ b/tests/list_notification_deadline.rs
@@ -1,6 +1,6 @@
-//! When a change of the endpoint list counts as notified: however a call to discovery ended, the next one starts in
-//! time to bring the change. The tests end each call by hand, with an agent that holds the list and with one discovery
-//! that all nodes share.
+//! Tests that a node receives each change of the endpoint list before it counts as notified: however a call
+//! to discovery ends, the next call starts in time to bring the change. The tests send the responses
+//! themselves, in place of an agent that holds the list and of one discovery service that all nodes share.
 
 mod fakes;
 
@@ -13,16 +13,16 @@
 };
 use serde_json::{json, Value};
 
-/// Where a node gets its list from.
+/// The service from which a node gets its list.
 #[derive(Debug, Clone, Copy)]
 enum Discovery {
-    /// An agent on its machine that holds the list.
+    /// An agent on the node's machine, which holds the list.
     Agent,
-    /// One discovery that this many nodes call.
+    /// One service that this many nodes call.
     SharedBy(u32),
 }
 
-/// A node that knows these entries and calls this peer.
+/// Starts a node that is configured with these entries and calls this peer.
 fn node(known: &[Value], peer: &FakeEndpoint, discovery: Discovery) -> EdgeProcess {
     let configuration = NodeConfiguration::new(known).discovery(peer.address);
     match discovery {
@@ -34,10 +34,11 @@
 /// Ends a call without a list that can be applied.
 type EndCall = fn(&FakeEndpoint, ReceivedRequest);
 
-const CALL_ENDS: [EndCall; 9] = [
+const CALL_ENDINGS: [EndCall; 9] = [
     |_, call| call.respond("500 Internal Server Error", "", ""),
     |_, call| call.respond("503 Service Unavailable", "Retry-After: 60\r\n", ""),
-    // It ends instead of bringing a list: with nothing, in order or by a reset, in the middle, without a change.
+    // The connection ends before the list is complete: it is closed without a response, reset without a
+    // response, reset within the body, or closed within the body.
     |_, call| call.close(),
     |peer, call| peer.send_raw_and_reset(call, b""),
     |peer, call| peer.send_raw_and_reset(call, b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{\"index\":99,"),
@@ -48,26 +49,34 @@
 ];
 
 #[test]
-fn call_after_a_failed_one_brings_the_missed_change_however_it_failed() {
+fn retry_after_any_failure_brings_the_missed_change() {
     for discovery in [Discovery::Agent, Discovery::SharedBy(4)] {
         let endpoints = [FakeEndpoint::start(), FakeEndpoint::start()];
         let peer = FakeEndpoint::start();
         let listed = |index: usize| active(&format!("s-{index}"), endpoints[index].address);
         let edge = node(&[listed(0)], &peer, discovery);
         let mut client = edge.connect();
-        for (row, end_call) in CALL_ENDS.into_iter().enumerate() {
+        for (row, end_call) in CALL_ENDINGS.into_iter().enumerate() {
             let call = next_watch(&peer);
-            let version = watched_version(&call.message).expect("a watch");
+            let version = watched_version(&call.message).expect("call should be a watch");
             end_call(&peer, call);
             let retry = next_watch(&peer);
-            assert_eq!(watched_version(&retry.message), Some(version), "row {row}: something was applied");
-            // An endpoint that a full list doesn't name is removed.
+            assert_eq!(
+                watched_version(&retry.message),
+                Some(version),
+                "row {row}: a response without a usable list was applied"
+            );
+            // A full list removes the endpoints that it does not name.
             let index = (row + 1) % 2;
             let list = json!({"index": version + 1, "snapshot": true, "endpoints": [listed(index)]});
             retry.respond_ok(&list.to_string());
-            // It watches on from that version, so it has applied the list.
+            // A watch from that version shows that the node has applied the list.
             let watch = next_watch(&peer);
-            assert_eq!(watched_version(&watch.message), Some(version + 1), "row {row}");
+            assert_eq!(
+                watched_version(&watch.message),
+                Some(version + 1),
+                "row {row}: the list was not applied"
+            );
             client.send(&request("post", &format!("{discovery:?}-{row}")));
             endpoints[index].next_request().respond_ok("ok");
             assert_eq!(client.response().status(), 200);
@@ -84,31 +93,41 @@
     began_at: Instant,
 }
 
-fn keep_silent(peer: &FakeEndpoint) -> SilentWatch {
+fn leave_unanswered(peer: &FakeEndpoint) -> SilentWatch {
     SilentWatch { call: next_watch(peer), began_at: Instant::now() }
 }
 
 #[test]
-fn silent_watch_is_replaced_before_what_it_missed_counts_as_notified() {
+fn silent_watch_is_replaced_before_its_missed_changes_count_as_notified() {
     let peers = [FakeEndpoint::start(), FakeEndpoint::start()];
     let _nodes = [node(&[], &peers[0], Discovery::Agent), node(&[], &peers[1], Discovery::SharedBy(4))];
-    // Silent from its start: that leaves the least time.
-    let silent_watches = peers.each_ref().map(keep_silent);
+    // The peers send nothing from the start of the watch on, which leaves the least time for the next one.
+    let silent_watches = peers.each_ref().map(leave_unanswered);
     for (silent, peer) in silent_watches.iter().zip(&peers) {
         let next = next_watch(peer);
         let elapsed = silent.began_at.elapsed();
-        assert!(elapsed < NOTIFIED_AFTER, "after {elapsed:?}");
+        assert!(
+            elapsed < NOTIFIED_AFTER,
+            "silent watch was replaced after {elapsed:?}, expected less than {NOTIFIED_AFTER:?}"
+        );
         assert_eq!(watched_version(&next.message), watched_version(&silent.call.message));
-        assert_ne!(next.node_address(), silent.call.node_address(), "asked on the silent connection");
+        assert_ne!(
+            next.node_address(),
+            silent.call.node_address(),
+            "next watch was sent on the silent connection"
+        );
     }
 }
 
 #[test]
-fn silent_watch_is_replaced_in_time_where_many_nodes_share_one_discovery() {
+fn silent_watch_is_replaced_in_time_with_many_nodes_at_a_shared_service() {
     let peer = FakeEndpoint::start();
     let _node = node(&[], &peer, Discovery::SharedBy(30));
-    let silent = keep_silent(&peer);
+    let silent = leave_unanswered(&peer);
     let _next = next_watch(&peer);
     let elapsed = silent.began_at.elapsed();
-    assert!(elapsed < NOTIFIED_AFTER, "after {elapsed:?}");
+    assert!(
+        elapsed < NOTIFIED_AFTER,
+        "silent watch was replaced after {elapsed:?}, expected less than {NOTIFIED_AFTER:?}"
+    );
 }
--- a/tests/list_watch.rs
+++ b/tests/list_watch.rs
@@ -1,4 +1,5 @@
-//! Endpoint lists that arrive at an unfavourable time or malformed: the test gives each response of the agent by hand.
+//! Tests of endpoint lists that are malformed or arrive at an unfavourable time. The test sends each response
+//! of the agent itself.
 
 mod fakes;
 
@@ -12,14 +13,14 @@
     json!({"index": version, "snapshot": is_snapshot, "endpoints": entries}).to_string()
 }
 
-/// The first calls of a node.
+/// The first calls of a node to its agent.
 struct FirstCalls {
-    /// For the full list.
+    /// The request for the full list.
     fetch: ReceivedRequest,
     watch: ReceivedRequest,
 }
 
-/// The next fetch and the next watch, in whatever order they come.
+/// Returns the next fetch and the next watch, which may arrive in either order.
 fn first_calls(agent: &FakeEndpoint) -> FirstCalls {
     let first = agent.next_request();
     let second = agent.next_request();
@@ -40,11 +41,14 @@
     let agent = FakeEndpoint::start();
     let edge = configuration_with_agent(&[active("s-1", old.address)], &agent).start();
     let calls = first_calls(&agent);
-    // The client connects first; the agent responds only then.
+    // The client connects and sends its request before the agent responds.
     let mut client = edge.connect();
     client.send(&request("post", "p-1"));
     for _ in 0..50 {
-        assert!(old.poll_request().is_none(), "sent before the agent has responded");
+        assert!(
+            old.poll_request().is_none(),
+            "request was sent to an endpoint before the agent has responded"
+        );
     }
     let entries = [endpoint_entry("s-1", old.address, "a", "draining"), active("s-2", new.address)];
     calls.fetch.respond_ok(&list(2, true, &entries));
@@ -73,7 +77,7 @@
     edge.reload(&configuration.clone().discovery(other_agent.address).to_text());
     let _call_after_move = other_agent.next_request();
     edge.reload(&configuration.to_text());
-    // The agent counts its versions anew, so the old response has the higher version.
+    // After the move back the agent counts its versions anew, so the old response has the higher version.
     agent.next_request().respond_ok(&list(3, true, &[active("s-2", new.address)]));
     let _watch = next_watch(&agent);
     let old_list = list(9, true, &[active("s-1", old.address)]);
@@ -83,7 +87,7 @@
 }
 
 #[test]
-fn malformed_list_is_not_applied_and_a_malformed_entry_is_left_out() {
+fn malformed_list_is_not_applied_and_malformed_entry_is_skipped() {
     let first = FakeEndpoint::start();
     let second = FakeEndpoint::start();
     let agent = FakeEndpoint::start();
@@ -99,7 +103,7 @@
     for (row, body) in malformed_lists.iter().enumerate() {
         watch.respond_ok(body);
         watch = next_watch(&agent);
-        assert_eq!(watched_version(&watch.message), Some(1), "row {row}: applied");
+        assert_eq!(watched_version(&watch.message), Some(1), "row {row}: malformed list was applied");
         assert_served_by(&first, &mut edge.connect(), &request("post", &format!("p-{row}")));
     }
     let entries = [json!({"name": "s-1", "status": 7}), active("s-2", second.address)];
@@ -116,13 +120,13 @@
     let known = [active("s-1", first.address), active("s-2", second.address)];
     let edge = configuration_with_agent(&known, &agent).start();
     let FirstCalls { fetch: _fetch, watch } = first_calls(&agent);
-    // Most of a list that would remove both.
+    // The response is cut off 5 bytes before its end. The complete list would remove both endpoints.
     let text = ok_response(&list(2, true, &[active("s-3", unreachable_address())]));
     watch.send_raw_and_close(&text.as_bytes()[..text.len() - 5]);
     let watch = next_watch(&agent);
     assert_eq!(watched_version(&watch.message), Some(1));
     let shorter = json!({"index": 3, "snapshot": true, "endpoints": [known[1]]});
-    watch.respond_ok(&serde_json::to_string_pretty(&shorter).expect("JSON"));
+    watch.respond_ok(&serde_json::to_string_pretty(&shorter).expect("list should serialize to JSON"));
     assert_eq!(watched_version(&next_watch(&agent).message), Some(3));
     for number in 0..4 {
         assert_served_by(&second, &mut edge.connect(), &request("post", &format!("p-{number}")));
@@ -131,8 +135,9 @@
 }
 
 #[test]
-fn next_watch_starts_from_a_version_without_changes() {
-    // Asked from the version before, the agent would have something newer to send at once, each time.
+fn next_watch_starts_from_the_version_of_a_response_without_changes() {
+    // If the node watched from the version before, the agent would have a newer version to send at once, each
+    // time.
     let agent = FakeEndpoint::start();
     let _edge = configuration_with_agent(&[], &agent).start();
     let FirstCalls { fetch: _fetch, watch } = first_calls(&agent);
--- a/tests/restart_readiness.rs
+++ b/tests/restart_readiness.rs
@@ -1,5 +1,6 @@
-//! A restarted node is ready by its configuration alone: with discovery silent, refusing or slow, and with a list as long
-//! as that of the largest fleet. Checked by the order of events, not by time.
+//! Tests that a restarted node becomes ready from its configuration alone: with discovery silent, refusing or
+//! slow, and with a list as long as that of the largest fleet. The tests check the order of events, not
+//! durations.
 
 mod fakes;
 
@@ -11,11 +12,11 @@
 };
 use serde_json::{json, Value};
 
-/// As many endpoints as the largest fleet has.
+/// The number of endpoints of the largest fleet.
 const ENDPOINT_COUNT: usize = 46_000;
 const READINESS_CHECK: &str = "GET /up HTTP/1.1\r\nHost: n0\r\n\r\n";
 
-/// A list of which one endpoint is in service and the others are draining.
+/// Returns entries of which one endpoint is in service and the others are draining.
 fn long_list(in_service: &FakeEndpoint) -> Vec<Value> {
     let name = |number: usize| format!("s-{number:08x}");
     let unreachable = unreachable_address();
@@ -25,7 +26,7 @@
     iter::once(active).chain(draining).collect()
 }
 
-/// A list as the agent responds with it.
+/// Returns a full list in the format of the agent's responses.
 fn snapshot(index: u64, entries: &[Value]) -> String {
     json!({"index": index, "snapshot": true, "endpoints": entries}).to_string()
 }
@@ -48,7 +49,8 @@
         }
         let killed = configuration.start();
         let configuration = configuration.text("listen", &killed.address.to_string());
-        // The kernel still knows the connections of an idle client and of a request in flight.
+        // At the kill the node has two open connections, one of an idle client and one with a request in
+        // flight. The kernel still holds them when the restarted node listens on the same port.
         let mut idle_client = killed.connect();
         idle_client.send_raw(READINESS_CHECK);
         assert_eq!(idle_client.response().status(), 200);
@@ -57,7 +59,7 @@
         let _in_flight = endpoint.next_request();
         killed.signal("KILL");
         drop(killed);
-        // The agent accepts the calls of both nodes and responds to none.
+        // The agent accepts the calls of the killed and of the restarted node, and responds to none.
         let restarted = configuration.start();
         assert_ready(&restarted);
         assert_served_by(&endpoint, &mut restarted.connect(), &request("lookup", "l-2"));
@@ -71,22 +73,22 @@
     let edge = NodeConfiguration::new(&long_list(&endpoint)).discovery(silent_agent.address).start();
     assert_ready(&edge);
     assert_served_by(&endpoint, &mut edge.connect(), &request("lookup", "l-1"));
-    // No call to the agent has a response so far.
+    // No call to the agent has been answered so far.
     let _pending_call = silent_agent.next_request();
 }
 
 #[test]
-fn node_without_endpoints_is_ready_while_a_list_of_46000_arrives_and_uses_it_then() {
+fn node_without_endpoints_is_ready_while_a_list_of_46000_arrives_and_then_uses_it() {
     let endpoint = FakeEndpoint::start();
     let agent = FakeEndpoint::start();
-    // The list has to arrive completely; how long that takes does not matter here.
+    // The list has to arrive completely, but the time that this takes is not checked.
     let edge = NodeConfiguration::new(&[]).discovery(agent.address).start();
     let list = snapshot(5, &long_list(&endpoint));
     let mut call = agent.next_request();
     call.send_half_response(&list);
     assert_ready(&edge);
     while !call.message.first.contains("after=5&") {
-        // The first call has half of its response and may end in any way.
+        // The first call has received half of its response and may end in any way.
         call = agent.next_request();
         call.send_response("200 OK", &list);
     }
--- a/tests/watch_schedule.rs
+++ b/tests/watch_schedule.rs
@@ -1,4 +1,4 @@
-//! When nodes call discovery, and how long they wait for its responses.
+//! Tests of when nodes call discovery, and of how long they wait for its responses.
 
 use std::time::Duration;
 
@@ -9,10 +9,11 @@
 };
 use tokio::time::Instant;
 
-/// After a move of discovery the list counts as notified this much later.
+/// The time after a move of discovery at which a node counts as notified of the list at the new address.
 const NOTIFIED_AFTER_MOVE: Duration = Duration::from_secs(4);
 
-/// Calls by second of a fleet whose calls all fail after 2 s, as they do at a service that is overloaded.
+/// Returns the number of calls in each second of a minute, in a fleet whose calls all fail after 2 s, as they
+/// do at an overloaded service.
 fn calls_by_second(nodes: u32) -> Vec<usize> {
     let failing_call = Duration::from_secs(2);
     let mut calls = vec![0; 60];
@@ -30,24 +31,27 @@
 #[test]
 fn hundred_nodes_whose_calls_all_fail_do_not_overload_discovery() {
     let calls = calls_by_second(100);
-    assert!(calls.iter().all(|&count| count <= 40), "calls by second: {calls:?}");
-    assert!(calls.iter().sum::<usize>() <= 20 * 60, "calls by second: {calls:?}");
+    assert!(
+        calls.iter().all(|&count| count <= 40),
+        "expected at most 40 calls in each second, got {calls:?}"
+    );
+    assert!(calls.iter().sum::<usize>() <= 20 * 60, "expected at most 1200 calls in a minute, got {calls:?}");
 }
 
 #[test]
-fn few_nodes_call_again_soon() {
+fn small_fleet_retries_within_250_ms() {
     let pause = WatchSchedule::new(1, 3, true).pause_after_failure(Duration::ZERO);
     assert!(pause < Duration::from_millis(250));
 }
 
 #[test]
-fn list_is_asked_for_before_it_counts_as_notified_in_any_fleet() {
+fn first_list_is_requested_before_it_counts_as_notified_in_any_fleet() {
     for seed in 0..300 {
         let mut schedule = WatchSchedule::new(seed, 300, true);
         assert!(schedule.first_call_delay() + FETCH_TIMEOUT <= NOTIFIED_AFTER);
         assert!(
             schedule.pause_before_first_list() + FIRST_CALL_TIMEOUT <= Duration::from_secs(1),
-            "after a move it has 4 s"
+            "pause and call should take at most 1 s, since the list is due 4 s after a move"
         );
         for _ in 0..9 {
             let pause = schedule.pause_after_failure(Duration::ZERO);
@@ -57,8 +61,8 @@
 }
 
 #[test]
-fn failed_call_is_made_again_before_what_it_missed_counts_as_notified_in_any_fleet() {
-    // Refused, timed out as at an overloaded service, and ended as silent.
+fn failed_call_is_retried_before_its_missed_changes_count_as_notified_in_any_fleet() {
+    // The calls are refused, time out as at an overloaded service, or end because discovery is silent.
     let call_times = [0, 2_000, 5_000].map(Duration::from_millis);
     for nodes in [1, 4, 30, 100, 300, 5_700] {
         for seed in 0..50 {
@@ -68,7 +72,7 @@
                 let longest = pauses.max().unwrap_or_default();
                 assert!(
                     call_time + longest + RETRY_RESPONSE_TIME <= NOTIFIED_AFTER,
-                    "{nodes} nodes, {call_time:?}: {longest:?}"
+                    "{nodes} nodes, failure after {call_time:?}: pause of {longest:?} is too long"
                 );
             }
         }
@@ -76,23 +80,35 @@
 }
 
 #[test]
-fn arriving_list_is_waited_for_and_a_silent_agent_is_not() {
+fn timeout_is_extended_while_a_list_arrives_and_not_for_a_silent_agent() {
     let began_at = Instant::now();
     for wait in [FIRST_CALL_TIMEOUT, FETCH_TIMEOUT] {
         let timeout = WatchTimeout::new(began_at, wait);
         let deadline = began_at + wait;
-        assert_eq!(timeout.deadline(), deadline, "ends as if nothing were ever to arrive");
-        assert_eq!(timeout.deadline_after_bytes(began_at), deadline, "early bytes extend nothing");
+        assert_eq!(
+            timeout.deadline(),
+            deadline,
+            "deadline without a response should be the start plus the wait"
+        );
+        assert_eq!(
+            timeout.deadline_after_bytes(began_at),
+            deadline,
+            "bytes that arrive early should not extend the deadline"
+        );
         assert_eq!(timeout.deadline_after_bytes(deadline), deadline + MAX_RESPONSE_PAUSE);
         let latest = deadline + MAX_TIMEOUT_EXTENSION;
-        assert_eq!(timeout.deadline_after_bytes(latest), latest, "a trickle of bytes is no list");
+        assert_eq!(
+            timeout.deadline_after_bytes(latest),
+            latest,
+            "deadline should not be extended beyond MAX_TIMEOUT_EXTENSION"
+        );
     }
     assert!(FIRST_CALL_TIMEOUT + MAX_TIMEOUT_EXTENSION <= NOTIFIED_AFTER_MOVE);
     assert!(FETCH_TIMEOUT + MAX_TIMEOUT_EXTENSION <= NOTIFIED_AFTER);
 }
 
 #[test]
-fn watch_whose_response_trickles_leaves_time_for_the_next_call() {
+fn watch_with_a_slow_response_leaves_time_for_the_next_call() {
     let began_at = Instant::now();
     let timeout = WatchTimeout::new(began_at, WATCH_TIMEOUT);
     let latest = timeout.deadline_after_bytes(began_at + NOTIFIED_AFTER);
@@ -101,7 +117,7 @@
 }
 
 #[test]
-fn agent_on_the_own_machine_is_called_without_delay_in_any_fleet() {
+fn agent_is_called_without_delay_in_any_fleet() {
     for seed in 0..300 {
         let mut schedule = WatchSchedule::new(seed, 300, false);
         assert_eq!(schedule.first_call_delay(), Duration::ZERO);
