--- a/crates/scale-bench/src/earlier.rs
+++ b/crates/scale-bench/src/earlier.rs
@@ -1,6 +1,8 @@
-//! `decisions` and `slopes` alone: the root of the build over an earlier revision (`earlier/Cargo.toml`).
+//! The command line of `scale-bench-earlier`, with the subcommands `decisions` and `slopes` only.
+//!
+//! `earlier/Cargo.toml` builds this program over an earlier revision of the edge node.
 #![forbid(unsafe_code)]
-#![allow(dead_code, unused_imports, reason = "parts of the shared files are used by the other subcommands only")]
+#![allow(dead_code, unused_imports, reason = "only the other subcommands use some items of shared files")]
 
 mod decisions;
 mod error;
@@ -14,13 +16,13 @@
 
 const PROGRAM: &str = "scale-bench-earlier";
 
-/// Measures what the decision module of this version takes alone.
+/// Measures the time and memory that the decision module of this revision takes by itself
 #[derive(Parser)]
 #[command(version)]
 enum Cli {
-    /// What the decision module takes for a request, a tick and a list, alone
+    /// Measure the decision module alone: its time for a request, a timer tick and an endpoint list
     Decisions(decisions::Options),
-    /// A ladder of sizes, and how each figure grows along it
+    /// Run a subcommand at several fleet sizes and print how each figure grows with the size
     Slopes(slopes::Options),
 }
 
--- a/crates/scale-bench/src/error.rs
+++ b/crates/scale-bench/src/error.rs
@@ -1,40 +1,43 @@
-//! Why a run could not be made.
+//! The errors of a run, and how the program reports them.
 
 use std::process::ExitCode;
 
 use clap::error::ErrorKind;
 
-/// The exit code for arguments that can't be read.
+/// Exit code if the arguments can't be parsed.
 const USAGE_EXIT_CODE: u8 = 2;
 
-/// Why a run could not be made; its text is the one line that the user sees.
+/// The reason why a run failed. Its text is the one line that the program prints.
 #[derive(Debug, thiserror::Error)]
 pub enum BenchError {
-    /// An argument that parses but can't be used.
+    /// An argument parses, but its value can't be used.
     #[error("{0}")]
     Argument(String),
-    /// The edge node could not be started, or ended by itself.
+    /// The edge node could not be started, has exited by itself or has broken a rule of the soak.
     #[error("the edge node: {0}")]
     EdgeNode(String),
     /// A file could not be read or written.
     #[error("{path}: {source}")]
     File {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What went wrong.
+        /// The error of the file operation.
         source: std::io::Error,
     },
-    /// The machine refused something that the run needs.
+    /// An operation that the run needs has failed, such as listening on a port.
     #[error("{what}: {source}")]
     System {
-        /// What was asked of it.
+        /// The failed operation, such as `cannot print the result`.
         what: &'static str,
-        /// What went wrong.
+        /// The error of the operation.
         source: std::io::Error,
     },
 }
 
-/// Prints help and version as they are, and of an error in the arguments the one line that describes it.
+/// Prints what clap reports instead of parsed arguments, and returns the program's exit code.
+///
+/// Help and version go to standard output unchanged. Of an error in the arguments, only the first line, which
+/// describes the error, goes to standard error.
 pub fn report_usage(program: &str, error: &clap::Error) -> ExitCode {
     if matches!(error.kind(), ErrorKind::DisplayHelp | ErrorKind::DisplayVersion) {
         return error.print().map_or(ExitCode::FAILURE, |()| ExitCode::SUCCESS);
@@ -45,7 +48,7 @@
     ExitCode::from(USAGE_EXIT_CODE)
 }
 
-/// Prints why a run failed, in one line, and returns the program's exit code.
+/// Returns the program's exit code; if the run failed, prints the error in one line to standard error.
 pub fn report_result(program: &str, result: Result<(), BenchError>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/scale-bench/src/fakes.rs
+++ b/crates/scale-bench/src/fakes.rs
@@ -1,5 +1,6 @@
-//! Fakes of an edge node's peers that follow the protocol: the discovery agent, the counter service and the
-//! endpoints (app servers).
+//! Fakes of an edge node's peers: the discovery agent, the counter service and the endpoints (app servers).
+//!
+//! Each fake speaks the protocol of the peer that it replaces.
 
 pub mod counter_service;
 pub mod discovery_agent;
@@ -12,7 +13,10 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex, also after a panic elsewhere: every mutex here holds counts and lists that are valid at any time.
+/// Locks a mutex and ignores that it may be poisoned.
+///
+/// A panic of another holder does no harm, because every mutex of the fakes holds counts or lists that are
+/// valid at any time.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/scale-bench/src/fakes/counter_service.rs
+++ b/crates/scale-bench/src/fakes/counter_service.rs
@@ -1,4 +1,4 @@
-//! A fake counter service: named counters with a lifetime, over RESP2.
+//! A fake of the counter service. It holds named counters with a lifetime and speaks RESP2.
 
 use std::collections::HashMap;
 use std::io;
@@ -18,49 +18,49 @@
 use super::resp::{parse, read_call};
 use super::traffic::{ByteCounts, MeteredStream, Traffic};
 
-/// The longest lifetime of a counter.
+/// The longest lifetime of a counter, in milliseconds; a longer one is shortened to this.
 const MAX_LIFETIME_MS: u64 = 60_000;
-/// The longest name of a counter, in bytes.
+/// The longest name of a counter, in bytes; a call with a longer one gets an error.
 const MAX_NAME_LENGTH: usize = 64;
-/// The largest amount of a call.
+/// The largest absolute amount of a call, in units; a call with a larger one gets an error.
 const MAX_AMOUNT: f64 = 1e9;
-/// Further connections are closed at once.
+/// Limit on open connections; further ones are closed as soon as they are accepted.
 const MAX_CONNECTIONS: usize = 32;
-/// Replies that may wait on a connection; no more calls are read from it until they are written.
+/// Limit on the unwritten replies of a connection; at the limit, no further calls are read from it.
 const MAX_PENDING_REPLIES: usize = 10_000;
-/// How much of a second's calls may come at once.
+/// Size of a burst of calls, as the time in seconds in which the capacity admits that many.
 const BURST_SECONDS: f64 = 0.1;
-/// Expired counters are removed when there are at least this many counters.
-const MIN_SWEEP_SIZE: usize = 10_000;
+/// Expired counters are removed only if there are at least this many counters.
+const MIN_SWEEP_THRESHOLD: usize = 10_000;
 
-/// How the service serves.
+/// The rate and the delay at which the service replies.
 #[derive(Debug, Clone, Copy)]
 pub struct CounterCapacity {
-    /// Calls that it takes a second; further ones get `-BUSY`.
+    /// `INCRTTL` calls that the service accepts per second; it rejects further ones with `-BUSY`.
     pub calls_per_second: f64,
-    /// How long each reply takes.
+    /// Time from the arrival of an `INCRTTL` call to its reply; other commands are answered at once.
     pub delay: Duration,
 }
 
-/// How the service treats its clients.
+/// How the service responds to its clients.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CounterMode {
-    /// It replies.
+    /// The service replies to every call.
     Serving,
-    /// It withholds its replies; those withheld are sent once it is not silent any more.
+    /// The service withholds its replies, and sends the withheld ones once it is in another mode.
     Silent,
-    /// It rejects every call with `-BUSY`.
+    /// The service rejects every valid `INCRTTL` call with `-BUSY`.
     Busy,
-    /// It resets every connection as it is accepted, and has closed those that were open.
+    /// The service closes its open connections as this mode begins, and resets each new one on accepting it.
     Resetting,
 }
 
-/// Calls so far.
+/// The number of `INCRTTL` calls since the service started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallCounts {
-    /// All calls.
+    /// All calls, including those that got `-BUSY` or `-ERR`.
     pub calls: u64,
-    /// Those that were rejected with `-BUSY`.
+    /// Calls that got `-BUSY`.
     pub busy: u64,
 }
 
@@ -71,19 +71,20 @@
 
 struct Counters {
     by_name: HashMap<Vec<u8>, Counter>,
-    sweep_size: usize,
+    /// Expired counters are removed once there are this many counters.
+    sweep_threshold: usize,
     /// Calls that may come at once, as of `refilled_at`.
     tokens: f64,
     refilled_at: Instant,
 }
 
-/// A reply and when to send it.
+/// A reply and the earliest time at which it is sent.
 struct Reply {
     send_at: Instant,
     text: Vec<u8>,
 }
 
-/// The counter service.
+/// A fake counter service on a loopback port.
 pub struct CounterService {
     address: SocketAddr,
     capacity: CounterCapacity,
@@ -96,10 +97,10 @@
 }
 
 impl CounterService {
-    /// Starts a service on a free port; it runs as long as the runtime.
+    /// Starts a service on a free port of 127.0.0.1. It runs until the runtime ends.
     ///
     /// # Errors
-    /// If it can't listen.
+    /// If the service can't listen on the port.
     pub async fn start(capacity: CounterCapacity) -> io::Result<Arc<Self>> {
         let listener = listen_on_loopback().await?;
         let service = Arc::new(CounterService {
@@ -116,27 +117,27 @@
         Ok(service)
     }
 
-    /// Where it listens.
+    /// Returns the address on which the service listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The bytes that it has received and sent.
+    /// Returns the bytes that the service has received and sent since it started.
     pub fn byte_counts(&self) -> ByteCounts {
         self.traffic.byte_counts()
     }
 
-    /// The calls that have come.
+    /// Returns the number of `INCRTTL` calls since the service started.
     pub fn call_counts(&self) -> CallCounts {
         CallCounts { calls: self.calls.load(Ordering::Relaxed), busy: self.busy.load(Ordering::Relaxed) }
     }
 
-    /// Sets whether it withholds its replies.
+    /// Sets the mode to [`CounterMode::Silent`], or to [`CounterMode::Serving`] if `silent` is false.
     pub fn set_silent(&self, silent: bool) {
         self.set_mode(if silent { CounterMode::Silent } else { CounterMode::Serving });
     }
 
-    /// Sets how it treats its clients from now on.
+    /// Sets how the service responds to its clients from now on.
     pub fn set_mode(&self, mode: CounterMode) {
         self.mode.send_replace(mode);
     }
@@ -145,7 +146,7 @@
         loop {
             let stream = accept(&listener).await;
             if *self.mode.borrow() == CounterMode::Resetting {
-                // Where it can't be set the connection is closed instead.
+                // If the option can't be set, dropping the stream closes the connection without a reset.
                 let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                 continue;
             }
@@ -213,13 +214,13 @@
     fn new(capacity: &CounterCapacity) -> Self {
         Counters {
             by_name: HashMap::new(),
-            sweep_size: MIN_SWEEP_SIZE,
+            sweep_threshold: MIN_SWEEP_THRESHOLD,
             tokens: capacity.burst(),
             refilled_at: Instant::now(),
         }
     }
 
-    /// Takes the token of one call; false if there is none.
+    /// Takes the token of one call. Returns false if no token is left.
     fn take_token(&mut self, capacity: &CounterCapacity, now: Instant) -> bool {
         let refill = now.duration_since(self.refilled_at).as_secs_f64() * capacity.calls_per_second;
         self.tokens = (self.tokens + refill).min(capacity.burst());
@@ -231,11 +232,11 @@
         true
     }
 
-    /// Adds to a counter, which starts at 0 if it does not exist or has expired, and returns its total.
+    /// Adds to a counter and returns its new total. A counter that does not exist or has expired starts at 0.
     fn add(&mut self, name: &[u8], amount: f64, lifetime: Duration, now: Instant) -> f64 {
-        if self.by_name.len() >= self.sweep_size {
+        if self.by_name.len() >= self.sweep_threshold {
             self.by_name.retain(|_, counter| counter.expires_at > now);
-            self.sweep_size = (self.by_name.len() * 2).max(MIN_SWEEP_SIZE);
+            self.sweep_threshold = (self.by_name.len() * 2).max(MIN_SWEEP_THRESHOLD);
         }
         let new_counter = || Counter { total: 0.0, expires_at: now + lifetime };
         let counter = self.by_name.entry(name.to_vec()).or_insert_with(new_counter);
@@ -248,13 +249,13 @@
 }
 
 impl CounterCapacity {
-    /// Calls that may come at once.
+    /// Returns the number of calls that may come at once, at least 1.
     fn burst(&self) -> f64 {
         (self.calls_per_second * BURST_SECONDS).max(1.0)
     }
 }
 
-/// Writes each reply when it is due and the service is not silent, in the order of the calls.
+/// Writes the replies in the order of the calls, each one once it is due and the service is not silent.
 async fn write_replies(
     mut connection: impl AsyncWrite + Unpin,
     mut pending: mpsc::Receiver<Reply>,
@@ -262,7 +263,7 @@
 ) {
     while let Some(reply) = pending.recv().await {
         sleep_until(reply.send_at).await;
-        // This fails only once the service has ended.
+        // Waiting fails only if the service has been dropped.
         let _ = mode.wait_for(|mode| *mode != CounterMode::Silent).await;
         if connection.write_all(&reply.text).await.is_err() {
             return;
--- a/crates/scale-bench/src/fakes/discovery_agent.rs
+++ b/crates/scale-bench/src/fakes/discovery_agent.rs
@@ -1,4 +1,4 @@
-//! A fake of the discovery agent that runs on the edge node's own machine.
+//! A fake of the discovery agent, which serves the endpoint list on the edge node's own machine.
 
 use std::convert::Infallible;
 use std::io;
@@ -24,25 +24,25 @@
 use super::traffic::{ByteCounts, MeteredStream, Traffic};
 
 const LIST_PATH: &str = "/discovery/hosts";
-/// The longest wait that a watch may ask for, in milliseconds.
+/// The longest wait that a watch may ask for, in milliseconds; a request for a longer one gets status 400.
 const MAX_WAIT_MS: u64 = 60_000;
 
-/// Messages sent so far.
+/// The messages that the agent has sent since it started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MessageCounts {
-    /// Snapshots.
+    /// Messages with the whole list.
     pub snapshots: u64,
-    /// Deltas, also empty ones.
+    /// Messages with changes only, among them empty ones.
     pub deltas: u64,
 }
 
-/// The text of a snapshot, written once for a version.
+/// The JSON text of the snapshot of one version, kept so that it is encoded only once.
 struct SnapshotText {
     version: u64,
     text: Bytes,
 }
 
-/// The discovery agent.
+/// A fake discovery agent on a loopback port.
 pub struct DiscoveryAgent {
     address: SocketAddr,
     list: Mutex<EndpointList>,
@@ -55,17 +55,17 @@
     deltas_sent: AtomicU64,
 }
 
-/// What a call asks for.
+/// The query of a request for the endpoint list.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct ListQuery {
-    /// The version that the caller has.
+    /// The version that the client has; `None` if it asks for a snapshot.
     after: Option<u64>,
-    /// How long to wait for a newer one.
+    /// The longest time to wait for another version than that of the client.
     wait: Duration,
 }
 
 impl ListQuery {
-    /// Reads the query; none where a value is no number, or the wait too long.
+    /// Parses a query. Returns `None` if a value is not a number or the wait exceeds [`MAX_WAIT_MS`].
     fn parse(text: &str) -> Option<ListQuery> {
         let mut query = ListQuery::default();
         for (key, value) in text.split('&').filter_map(|part| part.split_once('=')) {
@@ -83,10 +83,12 @@
 }
 
 impl DiscoveryAgent {
-    /// Starts an agent with this list on a free port; it runs as long as the runtime.
+    /// Starts an agent with this list on a free port of 127.0.0.1. It runs until the runtime ends.
+    ///
+    /// If `indented` is set, the agent sends its JSON with line breaks and indentation.
     ///
     /// # Errors
-    /// If it can't listen.
+    /// If the agent can't listen on the port.
     pub async fn start(list: EndpointList, indented: bool) -> io::Result<Arc<Self>> {
         let listener = listen_on_loopback().await?;
         let agent = Arc::new(DiscoveryAgent {
@@ -104,17 +106,17 @@
         Ok(agent)
     }
 
-    /// Where it listens.
+    /// Returns the address on which the agent listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The bytes that it has received and sent.
+    /// Returns the bytes that the agent has received and sent since it started.
     pub fn byte_counts(&self) -> ByteCounts {
         self.traffic.byte_counts()
     }
 
-    /// The messages that it has sent.
+    /// Returns the number of messages that the agent has sent since it started.
     pub fn message_counts(&self) -> MessageCounts {
         MessageCounts {
             snapshots: self.snapshots_sent.load(Ordering::Relaxed),
@@ -122,28 +124,28 @@
         }
     }
 
-    /// Changes its list and wakes the watches.
+    /// Changes the agent's list and wakes the waiting watches.
     pub fn update(&self, change: impl FnOnce(&mut EndpointList)) {
         let mut list = lock(&self.list);
         change(&mut list);
         self.version.send_replace(list.version());
     }
 
-    /// Makes the list's next change now.
+    /// Makes the next change of the list, with the current time as the start of a new endpoint.
     pub fn make_next_change(&self) {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         self.update(|list| list.make_next_change(now.as_millis() as u64));
     }
 
-    /// Sets whether it withholds its responses; those withheld are sent once it is not silent any more.
+    /// Sets whether the agent withholds its responses. It sends the withheld ones once it is not silent.
     pub fn set_silent(&self, silent: bool) {
         self.silent.send_replace(silent);
     }
 
-    /// The text of the snapshot, written now unless it is there already.
+    /// Returns the JSON text of the current snapshot, from the cache if it holds this version.
     ///
     /// # Errors
-    /// If it can't be written as JSON.
+    /// If the snapshot can't be encoded as JSON.
     pub fn snapshot_text(&self) -> serde_json::Result<Bytes> {
         let list = lock(&self.list);
         let mut cached = lock(&self.snapshot_text);
@@ -153,14 +155,14 @@
             }
         }
         let snapshot = list.snapshot();
-        // Writing the text takes long, and changes go on meanwhile.
+        // Encoding takes long, and the list stays open to changes meanwhile.
         drop(list);
-        let text = self.write(&snapshot)?;
+        let text = self.to_json(&snapshot)?;
         *cached = Some(SnapshotText { version: snapshot.version, text: text.clone() });
         Ok(text)
     }
 
-    fn write(&self, message: &ListMessage) -> serde_json::Result<Bytes> {
+    fn to_json(&self, message: &ListMessage) -> serde_json::Result<Bytes> {
         let text =
             if self.indented { serde_json::to_vec_pretty(message)? } else { serde_json::to_vec(message)? };
         Ok(Bytes::from(text))
@@ -172,7 +174,7 @@
             let agent = self.clone();
             tokio::spawn(async move {
                 let service = service_fn(|request| agent.respond(request));
-                // This fails where the edge node closes the connection early.
+                // An error here means that the edge node closed the connection early; there is nothing to do.
                 let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
             });
         }
@@ -198,32 +200,35 @@
         Ok(response)
     }
 
-    /// Waits as long as the query says, and then for the end of a silence, and writes a delta or a snapshot.
+    /// Returns the JSON text of a delta, or of a snapshot if no delta leads on from the client's version.
+    ///
+    /// Before that, waits as long as the query asks for, and then until the agent is not silent.
     async fn list_message(self: &Arc<Self>, query: ListQuery) -> Result<Bytes, StatusCode> {
         if let Some(after) = query.after {
             self.wait_for_other_version(after, query.wait).await;
         }
-        // This fails only once the agent has ended.
+        // Waiting fails only if the agent has been dropped.
         let _ = self.silent.subscribe().wait_for(|silent| !silent).await;
         if let Some(delta) = query.after.and_then(|after| self.delta_from(after)) {
             self.deltas_sent.fetch_add(1, Ordering::Relaxed);
-            return self.write(&delta).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR);
+            return self.to_json(&delta).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR);
         }
         self.snapshots_sent.fetch_add(1, Ordering::Relaxed);
         let agent = self.clone();
-        // A long list takes some tens of milliseconds.
+        // Encoding a long list takes some tens of milliseconds, and would block the tasks of this thread.
         let text = tokio::task::spawn_blocking(move || agent.snapshot_text()).await;
         text.ok().and_then(Result::ok).ok_or(StatusCode::INTERNAL_SERVER_ERROR)
     }
 
-    /// Waits until the list has another version, older or newer, but no longer than this.
+    /// Waits at most `wait` until the list has another version than this one, older or newer.
     async fn wait_for_other_version(&self, version: u64, wait: Duration) {
         let mut versions = self.version.subscribe();
         let other_version = versions.wait_for(|current| *current != version);
-        // The sender lives as long as the agent, so only the wait's end can fail.
+        // The sender lives as long as the agent, so the only possible error is the timeout.
         let _ = timeout(wait, other_version).await;
     }
 
+    /// Returns the changes after this version, or `None` if the list no longer holds all of them.
     fn delta_from(&self, version: u64) -> Option<ListMessage> {
         let list = lock(&self.list);
         list.has_delta_from(version).then(|| list.delta_from(version))
--- a/crates/scale-bench/src/fakes/endpoint_list.rs
+++ b/crates/scale-bench/src/fakes/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list that a fake discovery agent holds: its entries, its version and its latest changes.
+//! The endpoint list of the fake discovery agent: its entries, its version and its latest changes.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -9,15 +9,15 @@
 
 use super::hash::mix;
 
-/// Changes that are kept; a watch from before them gets a snapshot.
+/// Limit on the changes that are kept for deltas. A watch from an older version gets a snapshot.
 const MAX_LOGGED_CHANGES: usize = 20_000;
-/// The first address of an endpoint. Those below are left to everything else on this machine.
+/// The first address of an endpoint, 127.1.0.0. Other programs of this machine may use those below.
 const FIRST_ADDRESS: u32 = 0x7f01_0000;
-/// How many addresses there are from there on, so that all lie in 127.0.0.0/8 and none is its last.
-const ADDRESSES: u32 = 0x00fe_ffff;
-/// Endpoints of one cell (the protocol's `group`).
+/// Number of endpoint addresses from [`FIRST_ADDRESS`] on: all in 127.0.0.0/8, without its last address.
+const ADDRESS_COUNT: u32 = 0x00fe_ffff;
+/// Number of endpoints in one cell; the protocol calls the cell `group`.
 const CELL_SIZE: u32 = 4;
-/// The shortest name: `s-` and eight digits.
+/// The shortest name of an endpoint, in bytes: `s-` and eight hex digits.
 pub const MIN_NAME_LENGTH: usize = 10;
 const MACHINE_KINDS: [&str; 3] = ["m1", "m2", "m3"];
 
@@ -25,114 +25,114 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Status {
-    /// In service.
+    /// The endpoint is in service.
     Up,
-    /// Completes its requests and takes no more.
+    /// The endpoint completes its requests and accepts no new ones.
     Draining,
-    /// Not in service any more; only in changes.
+    /// The endpoint is no longer in service. Only deltas hold entries with this status.
     Removed,
 }
 
-/// An entry of the list, as the protocol has it.
+/// An entry of the list, in the form in which the protocol encodes it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListEntry {
-    /// Identical at every edge node.
+    /// Name of the endpoint, the same at every edge node.
     pub name: String,
-    /// Where the endpoint listens.
+    /// Address on which the endpoint listens.
     pub address: SocketAddrV4,
-    /// The name of its zone.
+    /// Name of the endpoint's zone.
     pub zone: String,
-    /// Its kind of machine.
+    /// Name of the endpoint's machine kind.
     #[serde(rename = "type")]
     pub machine_kind: String,
-    /// Its cell.
+    /// Number of the endpoint's cell.
     #[serde(rename = "group")]
     pub cell: u32,
-    /// Its status.
+    /// Whether the endpoint is in service, draining or removed.
     pub status: Status,
-    /// Its registered capacity.
+    /// Registered capacity of the endpoint relative to others; 1 for every endpoint of the fake.
     pub weight: f64,
-    /// When it last started, in milliseconds of Unix time; 0 means long ago.
+    /// Time of the endpoint's last start, in milliseconds of Unix time; 0 if that was long ago.
     #[serde(rename = "since_ms")]
     pub started_at_ms: u64,
 }
 
-/// A snapshot or a delta of the list, as the protocol has it.
+/// A snapshot or a delta of the list, in the form in which the protocol encodes it.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListMessage {
-    /// The version that it leads to.
+    /// Version of the list once the message has been applied.
     #[serde(rename = "index")]
     pub version: u64,
-    /// Whether it is the whole list.
+    /// Whether the message holds the whole list.
     #[serde(rename = "snapshot")]
     pub is_snapshot: bool,
-    /// The entries.
+    /// All entries of a snapshot; of a delta, the newest entry of each endpoint that changed.
     pub endpoints: Vec<ListEntry>,
 }
 
-/// What a list is made of.
+/// The parameters from which a list is generated.
 #[derive(Debug, Clone)]
 pub struct ListShape {
-    /// How many endpoints it has at first.
+    /// Number of endpoints that the list has at first.
     pub endpoints: u32,
-    /// Gives the names and which endpoints change.
+    /// Seed of the endpoints' names and machine kinds, and of the choice of endpoints that are replaced.
     pub seed: u64,
-    /// How many zones there are; endpoints are dealt out to them in turn.
+    /// Number of zones; endpoints are assigned to them in turn.
     pub zones: u32,
-    /// Length of each name in bytes, at least [`MIN_NAME_LENGTH`].
+    /// Length of each name in bytes; one below [`MIN_NAME_LENGTH`] counts as [`MIN_NAME_LENGTH`].
     pub name_length: usize,
-    /// The port that all endpoints listen at, each at an address of its own.
+    /// Port on which every endpoint listens. Each one has its own address.
     pub port: u16,
 }
 
-/// The names of the zones.
+/// Returns the names of the first `count` zones.
 pub fn zone_names(count: u32) -> Vec<String> {
     (0..count).map(|zone| format!("z{zone}")).collect()
 }
 
-/// The names of the kinds of machine.
+/// Returns the names of all machine kinds.
 pub fn machine_kinds() -> &'static [&'static str] {
     &MACHINE_KINDS
 }
 
 struct LoggedChange {
-    /// The version that it led to.
+    /// Version of the list right after the change.
     version: u64,
     entry: ListEntry,
 }
 
-/// The next step of replacing an endpoint: its successor starts, it drains, it is removed.
+/// The next step of a replacement: a new endpoint starts, an older one drains, the drained one is removed.
 enum ReplacementStep {
     Start,
     Drain,
     Remove { index: usize },
 }
 
-/// The list with its latest changes.
+/// The endpoint list with its version and its latest changes.
 pub struct EndpointList {
     shape: ListShape,
     zones: Vec<String>,
-    /// How many endpoints there have ever been.
-    created: u32,
+    /// Number of the next new endpoint: how many there have been so far, modulo [`ADDRESS_COUNT`].
+    next_number: u32,
     entries: Vec<ListEntry>,
     version: u64,
     changes: VecDeque<LoggedChange>,
-    /// The logged changes lead on from every version from this one on.
-    oldest_base: u64,
+    /// The oldest version from which the logged changes lead to the current one.
+    oldest_delta_base: u64,
     random: StdRng,
     next_step: ReplacementStep,
 }
 
 impl EndpointList {
-    /// Creates a list whose endpoints have all been up for long.
+    /// Creates a list at version 1 whose endpoints all started long ago.
     pub fn new(shape: ListShape) -> Self {
         let mut list = EndpointList {
             zones: zone_names(shape.zones.max(1)),
-            created: 0,
+            next_number: 0,
             entries: Vec::new(),
             version: 1,
             changes: VecDeque::new(),
-            oldest_base: 1,
+            oldest_delta_base: 1,
             random: StdRng::seed_from_u64(mix(shape.seed, 1)),
             next_step: ReplacementStep::Start,
             shape,
@@ -141,17 +141,19 @@
         list
     }
 
-    /// The newest version.
+    /// Returns the current version.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The endpoints that are not removed.
+    /// Returns the entries of all endpoints that are up or draining.
     pub fn entries(&self) -> &[ListEntry] {
         &self.entries
     }
 
-    /// Makes the next change: an endpoint starts, another one drains, that one is removed, and so on in turn.
+    /// Makes the next change: in turn, an endpoint starts, another one drains, and that one is removed.
+    ///
+    /// `now_ms` is the start of a new endpoint, in milliseconds of Unix time.
     pub fn make_next_change(&mut self, now_ms: u64) {
         let entry = match self.next_step {
             ReplacementStep::Start => {
@@ -161,7 +163,7 @@
                 entry
             }
             ReplacementStep::Drain => {
-                // The last one has just started.
+                // The last entry is the endpoint that has just started; it is not drained.
                 let index = self.random.random_range(0..self.entries.len() - 1);
                 self.entries[index].status = Status::Draining;
                 self.next_step = ReplacementStep::Remove { index };
@@ -175,26 +177,27 @@
         self.log_change(entry);
     }
 
-    /// Replaces all endpoints by as many others that have been up for long; watches get a snapshot.
+    /// Replaces all endpoints by as many others that started long ago. Watches get a snapshot.
     pub fn replace_all(&mut self) {
         self.entries = self.new_entries(self.entries.len());
         self.next_step = ReplacementStep::Start;
         self.discard_changes();
     }
 
-    /// Makes a new version to which no changes lead: watches get a snapshot.
+    /// Starts a new version and discards the logged changes, so that watches get a snapshot.
     pub fn discard_changes(&mut self) {
         self.version += 1;
-        self.oldest_base = self.version;
+        self.oldest_delta_base = self.version;
         self.changes.clear();
     }
 
-    /// Whether the logged changes lead on from this version; if not, its holder needs a snapshot.
+    /// Returns whether the logged changes lead from this version to the current one. If not, a client with
+    /// this version needs a snapshot.
     pub fn has_delta_from(&self, version: u64) -> bool {
-        (self.oldest_base..=self.version).contains(&version)
+        (self.oldest_delta_base..=self.version).contains(&version)
     }
 
-    /// The changes after this version: the newest entry of each endpoint, in the order of changes.
+    /// Returns the changes after this version: the newest entry of each endpoint, in the order of changes.
     pub fn delta_from(&self, version: u64) -> ListMessage {
         let newer = || self.changes.iter().filter(|change| change.version > version);
         let mut newest: BTreeMap<&str, u64> = BTreeMap::new();
@@ -209,7 +212,7 @@
         }
     }
 
-    /// The whole list.
+    /// Returns the whole list as a message.
     pub fn snapshot(&self) -> ListMessage {
         ListMessage { version: self.version, is_snapshot: true, endpoints: self.entries.clone() }
     }
@@ -219,7 +222,7 @@
         self.changes.push_back(LoggedChange { version: self.version, entry });
         if self.changes.len() > MAX_LOGGED_CHANGES {
             if let Some(dropped) = self.changes.pop_front() {
-                self.oldest_base = dropped.version;
+                self.oldest_delta_base = dropped.version;
             }
         }
     }
@@ -229,8 +232,8 @@
     }
 
     fn new_entry(&mut self, started_at_ms: u64) -> ListEntry {
-        let number = self.created;
-        self.created = (self.created + 1) % ADDRESSES;
+        let number = self.next_number;
+        self.next_number = (self.next_number + 1) % ADDRESS_COUNT;
         let zone = number as usize % self.zones.len();
         let kind = mix(self.shape.seed, u64::from(number)) as usize % MACHINE_KINDS.len();
         ListEntry {
@@ -245,15 +248,15 @@
         }
     }
 
-    /// The name of the endpoint with this number, filled up to the length that was asked for.
+    /// Returns the name of the endpoint with this number, padded to the length that the shape asks for.
     fn name(&self, number: u32) -> String {
-        // The factor is odd, so no two numbers share a name.
-        let spread = number.wrapping_add(self.shape.seed as u32).wrapping_mul(0x9e37_79b1);
-        let mut name = format!("s-{spread:08x}");
-        let mut filler = 0;
+        // The factor is odd, so different numbers have different hashes and names.
+        let hash = number.wrapping_add(self.shape.seed as u32).wrapping_mul(0x9e37_79b1);
+        let mut name = format!("s-{hash:08x}");
+        let mut padding_index = 0;
         while name.len() < self.shape.name_length {
-            name += &format!("{:016x}", mix(u64::from(spread), filler));
-            filler += 1;
+            name += &format!("{:016x}", mix(u64::from(hash), padding_index));
+            padding_index += 1;
         }
         name.truncate(self.shape.name_length.max(MIN_NAME_LENGTH));
         name
--- a/crates/scale-bench/src/fakes/endpoints.rs
+++ b/crates/scale-bench/src/fakes/endpoints.rs
@@ -1,5 +1,6 @@
-//! Fakes of any number of endpoints (app servers): one listener at all loopback addresses, of which each endpoint
-//! has one.
+//! Fakes of any number of endpoints (app servers).
+//!
+//! One listener accepts the connections to all loopback addresses, one of which each endpoint has.
 
 use std::collections::HashSet;
 use std::convert::Infallible;
@@ -24,32 +25,32 @@
 use super::listener::{accept, listen_on_all_loopback_addresses};
 use super::lock;
 
-/// The longest body of a request, in bytes.
+/// The longest body of a request, in bytes; a request with a longer one gets status 400.
 const MAX_BODY_LENGTH: usize = 64 * 1024;
-/// Exponential work times are cut off at this many times their mean.
+/// The longest exponential work time, as a multiple of the mean.
 const MAX_WORK_MULTIPLE: f64 = 20.0;
-/// The shortest pause between checks whether a connection is idle.
+/// The shortest pause between two checks of whether a connection has been idle for too long.
 const MIN_IDLE_CHECK_PAUSE: Duration = Duration::from_millis(100);
-/// Digits of a request's id.
+/// Number of hex digits of a request's id.
 const ID_LENGTH: usize = 16;
 
-/// How endpoints work.
+/// The work times and responses of all endpoints.
 #[derive(Debug, Clone, Copy)]
 pub struct WorkModel {
-    /// Gives each request its work time.
+    /// Seed of the work times; a request's work time depends on the seed and its number alone.
     pub seed: u64,
-    /// The mean work time.
+    /// The mean work time of a request.
     pub mean: Duration,
-    /// Whether work times are exponential; if not, all are the mean.
+    /// Whether work times are exponentially distributed; if not, every one equals the mean.
     pub exponential: bool,
-    /// Bytes of a response's body, or as many as its request's id has if that is more.
+    /// Length of a response's body in bytes; the body is longer if the request's id does not fit in.
     pub body_length: usize,
-    /// A connection that has been idle for this long is closed.
+    /// An endpoint closes a connection that has been idle for this long.
     pub idle_timeout: Duration,
 }
 
 impl WorkModel {
-    /// The work time of a request.
+    /// Returns the work time of the request with this number.
     pub fn work_time(&self, number: u32) -> Duration {
         if !self.exponential {
             return self.mean;
@@ -58,7 +59,7 @@
         self.mean.mul_f64(multiple.min(MAX_WORK_MULTIPLE))
     }
 
-    /// The body of the response to a request: its id, and filler.
+    /// Returns the body of the response to the request with this number: the request's id, padded with dots.
     pub fn response_body(&self, number: u32) -> Vec<u8> {
         let mut body = request_id(number).into_bytes();
         body.resize(self.body_length.max(body.len()), b'.');
@@ -66,40 +67,40 @@
     }
 }
 
-/// The id of the request with this number.
+/// Returns the id of the request with this number, as 16 hex digits.
 pub fn request_id(number: u32) -> String {
     format!("{number:016x}")
 }
 
-/// What the endpoints know of a request.
+/// What the endpoints have recorded about one request.
 #[derive(Default)]
 struct RequestRecord {
     attempts: AtomicU32,
-    /// How long the latest attempt that was answered took, in microseconds.
+    /// Service time of the latest attempt that was answered, in microseconds; 0 before the first one.
     service_time_us: AtomicU64,
 }
 
-/// What the endpoints have counted.
+/// What the endpoints have counted since they started.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct EndpointCounts {
-    /// Connections accepted, each one a handshake.
+    /// Connections that were accepted, each one after a TCP handshake.
     pub connections: u64,
-    /// Attempts that have arrived completely.
+    /// Attempts whose request arrived completely, with its body.
     pub attempts: u64,
-    /// Probes.
+    /// Probes that arrived: requests for `/alive` or `/metrics/load`.
     pub probes: u64,
-    /// Requests without an id, or with one that no client has sent.
+    /// Requests that carry no id, or one that no client sends.
     pub unknown_requests: u64,
-    /// Endpoints that got an attempt.
+    /// Endpoints that received at least one attempt.
     pub endpoints_used: u64,
 }
 
-/// The endpoints.
+/// All fake endpoints, behind one listener.
 pub struct Endpoints {
     port: u16,
     work: WorkModel,
     requests: Vec<RequestRecord>,
-    used: Mutex<HashSet<Ipv4Addr>>,
+    used_addresses: Mutex<HashSet<Ipv4Addr>>,
     connections: AtomicU64,
     attempts: AtomicU64,
     probes: AtomicU64,
@@ -107,18 +108,19 @@
 }
 
 impl Endpoints {
-    /// Starts an endpoint at every loopback address, all at one free port, for requests numbered below
-    /// `request_count`; they run as long as the runtime.
+    /// Starts an endpoint at every loopback address, all on the same free port.
+    ///
+    /// The endpoints serve requests numbered below `request_count`, and run until the runtime ends.
     ///
     /// # Errors
-    /// If they can't listen on the loopback device alone.
+    /// If the listener can't be bound to the loopback device only.
     pub fn start(work: WorkModel, request_count: u32) -> io::Result<Arc<Self>> {
         let listener = listen_on_all_loopback_addresses()?;
         let endpoints = Arc::new(Endpoints {
             port: listener.local_addr()?.port(),
             work,
             requests: (0..request_count).map(|_| RequestRecord::default()).collect(),
-            used: Mutex::default(),
+            used_addresses: Mutex::default(),
             connections: AtomicU64::new(0),
             attempts: AtomicU64::new(0),
             probes: AtomicU64::new(0),
@@ -128,29 +130,31 @@
         Ok(endpoints)
     }
 
-    /// The port that each of them listens at.
+    /// Returns the port on which every endpoint listens.
     pub fn port(&self) -> u16 {
         self.port
     }
 
-    /// What they have counted so far.
+    /// Returns the counts since the endpoints started.
     pub fn counts(&self) -> EndpointCounts {
         EndpointCounts {
             connections: self.connections.load(Ordering::Relaxed),
             attempts: self.attempts.load(Ordering::Relaxed),
             probes: self.probes.load(Ordering::Relaxed),
             unknown_requests: self.unknown_requests.load(Ordering::Relaxed),
-            endpoints_used: lock(&self.used).len() as u64,
+            endpoints_used: lock(&self.used_addresses).len() as u64,
         }
     }
 
-    /// How long an endpoint took for the request, from its last byte to its response; zero if none has had it.
+    /// Returns how long an endpoint took for the request, from the arrival of its last byte to its response.
+    ///
+    /// If several attempts were answered, returns the time of the latest one; if none was, returns zero.
     pub fn service_time(&self, number: u32) -> Duration {
         let record = self.requests.get(number as usize);
         Duration::from_micros(record.map_or(0, |record| record.service_time_us.load(Ordering::Relaxed)))
     }
 
-    /// How many attempts of the request have arrived.
+    /// Returns the number of attempts of the request that arrived.
     pub fn attempts(&self, number: u32) -> u32 {
         let record = self.requests.get(number as usize);
         record.map_or(0, |record| record.attempts.load(Ordering::Relaxed))
@@ -178,7 +182,7 @@
         loop {
             let time_left = self.work.idle_timeout.saturating_sub(activity.idle_time());
             tokio::select! {
-                // This fails where the edge node closes the connection early.
+                // An error here means that the edge node closed the connection early; there is nothing to do.
                 _ = connection.as_mut() => return,
                 () = sleep(time_left.max(MIN_IDLE_CHECK_PAUSE)) => {
                     if time_left.is_zero() && activity.is_idle() {
@@ -208,21 +212,21 @@
         Response::new(self.work_on(number, endpoint).await)
     }
 
-    /// Works on an attempt and returns the body of its response.
+    /// Records an attempt, waits for the work time of its request and returns the body of the response.
     async fn work_on(&self, number: u32, endpoint: Ipv4Addr) -> Full<Bytes> {
         let arrived_at = Instant::now();
         let record = &self.requests[number as usize];
         record.attempts.fetch_add(1, Ordering::Relaxed);
         self.attempts.fetch_add(1, Ordering::Relaxed);
-        lock(&self.used).insert(endpoint);
+        lock(&self.used_addresses).insert(endpoint);
         sleep(self.work.work_time(number)).await;
         let body = Full::new(Bytes::from(self.work.response_body(number)));
-        // The time that it really took: timers are late by up to a millisecond.
+        // The measured time is stored, not the work time, because timers are late by up to a millisecond.
         record.service_time_us.store(arrived_at.elapsed().as_micros() as u64, Ordering::Relaxed);
         body
     }
 
-    /// The number of the request with this id, if a client has sent it.
+    /// Returns the number of the request with this id, or `None` if no client sends such an id.
     fn known_number(&self, id: &HeaderValue) -> Option<u32> {
         let id = id.to_str().ok().filter(|id| id.len() == ID_LENGTH)?;
         let number = u32::from_str_radix(id, 16).ok()?;
@@ -236,11 +240,11 @@
     response
 }
 
-/// Whether a connection is idle, and since when.
+/// Tracks whether a connection is idle, and since when.
 struct Activity {
     opened_at: Instant,
-    requests_in_work: AtomicU32,
-    /// When the last request ended, in microseconds since the connection was opened.
+    requests_in_progress: AtomicU32,
+    /// Time at which the last request ended, in microseconds since the connection was opened; 0 before that.
     idle_since_us: AtomicU64,
 }
 
@@ -248,26 +252,26 @@
     fn new() -> Self {
         Activity {
             opened_at: Instant::now(),
-            requests_in_work: AtomicU32::new(0),
+            requests_in_progress: AtomicU32::new(0),
             idle_since_us: AtomicU64::new(0),
         }
     }
 
     fn request_started(&self) {
-        self.requests_in_work.fetch_add(1, Ordering::Relaxed);
+        self.requests_in_progress.fetch_add(1, Ordering::Relaxed);
     }
 
     fn request_ended(&self) {
         let since_opened = self.opened_at.elapsed().as_micros() as u64;
         self.idle_since_us.store(since_opened, Ordering::Relaxed);
-        self.requests_in_work.fetch_sub(1, Ordering::Relaxed);
+        self.requests_in_progress.fetch_sub(1, Ordering::Relaxed);
     }
 
     fn is_idle(&self) -> bool {
-        self.requests_in_work.load(Ordering::Relaxed) == 0
+        self.requests_in_progress.load(Ordering::Relaxed) == 0
     }
 
-    /// Time since the last request ended.
+    /// Returns the time since the last request ended, or since the connection was opened if none has.
     fn idle_time(&self) -> Duration {
         let idle_since = Duration::from_micros(self.idle_since_us.load(Ordering::Relaxed));
         self.opened_at.elapsed().saturating_sub(idle_since)
--- a/crates/scale-bench/src/fakes/traffic.rs
+++ b/crates/scale-bench/src/fakes/traffic.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes of a fake's connections.
+//! Counters of the bytes that a fake receives and sends.
 
 use std::io;
 use std::pin::Pin;
@@ -9,24 +9,24 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// The bytes that a fake has received and sent: what TCP carries, without its headers.
+/// Counts the bytes that a fake receives and sends on its connections: TCP payload, without headers.
 #[derive(Debug, Default)]
 pub struct Traffic {
     received: AtomicU64,
     sent: AtomicU64,
 }
 
-/// The bytes received and sent up to a point in time.
+/// The bytes that a fake had received and sent at one point in time.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct ByteCounts {
-    /// Received by the fake.
+    /// Bytes that the fake had received.
     pub received: u64,
-    /// Sent by the fake.
+    /// Bytes that the fake had sent.
     pub sent: u64,
 }
 
 impl Traffic {
-    /// The bytes so far.
+    /// Returns the bytes up to now.
     pub fn byte_counts(&self) -> ByteCounts {
         ByteCounts {
             received: self.received.load(Ordering::Relaxed),
@@ -35,7 +35,7 @@
     }
 }
 
-/// A connection whose bytes are counted.
+/// A TCP stream that adds the bytes it carries to a [`Traffic`].
 pub(super) struct MeteredStream {
     pub(super) stream: TcpStream,
     pub(super) traffic: Arc<Traffic>,
--- a/crates/scale-bench/src/lib.rs
+++ b/crates/scale-bench/src/lib.rs
@@ -1,11 +1,12 @@
 //! Measures how the edge node's cost, memory, traffic and service grow with the fleet.
 //!
-//! - [`node`]: one real edge node process before fakes of all its peers.
-//! - [`fakes`]: these peers: the discovery agent, the counter service and the endpoints (app servers).
-//! - [`fleet`]: many decision engines on one simulated clock, before model endpoints and one counter service.
-//! - [`decisions`]: what the decision engine takes for a request, a timer and a list, alone.
-//! - [`slopes`]: a ladder of sizes, and how each figure grows along it.
-//! - [`soak`]: many short plays of one real node under seeded faults, and the rules of the service checked on each.
+//! - [`node`]: runs one real edge node process against fakes of all its peers.
+//! - [`fakes`]: implements these peers: the discovery agent, the counter service and the endpoints.
+//! - [`fleet`]: runs many decision engines on one simulated clock, against simulated endpoints (app servers)
+//!   and one simulated counter service.
+//! - [`decisions`]: measures one decision engine alone: its time for a request, a timer and an endpoint list.
+//! - [`slopes`]: runs one of these at several fleet sizes and computes how each figure grows with the size.
+//! - [`soak`]: runs short plays of one real node under seeded faults, and checks the rules of the service.
 #![forbid(unsafe_code)]
 
 pub mod decisions;
--- a/crates/scale-bench/src/main.rs
+++ b/crates/scale-bench/src/main.rs
@@ -11,7 +11,7 @@
 
 /// Measures how the edge node's cost, memory, traffic and service grow with the fleet.
 ///
-/// Everything runs on loopback addresses, within bounds of count and time, and ends by itself.
+/// Every run uses loopback addresses only, has limits on its size and duration, and ends by itself.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -21,15 +21,15 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// One real edge node process before stand-ins of all its peers
+    /// Run one real edge node process against fakes of all its peers
     Node(node::Options),
-    /// Hollow nodes on one simulated clock, before model app servers and one model counter
+    /// Run hollow nodes on one simulated clock, against simulated app servers and a simulated counter service
     Fleet(fleet::Options),
-    /// What the decision module takes for a request, a tick and a list, alone
+    /// Measure the decision module alone: its time for a request, a timer tick and an endpoint list
     Decisions(decisions::Options),
-    /// A ladder of sizes, and how each figure grows along it
+    /// Run a subcommand at several fleet sizes and print how each figure grows with the size
     Slopes(slopes::Options),
-    /// Short plays of one real edge node under faults drawn from a seed, checked by the rules of the service
+    /// Run short plays of one edge node process under faults drawn from a seed, and check the service's rules
     Soak(soak::Options),
 }
 
--- a/crates/scale-bench/src/memory.rs
+++ b/crates/scale-bench/src/memory.rs
@@ -1,25 +1,27 @@
-//! What memory a process holds, as the kernel reports it.
+//! Reads the memory use of a process from `/proc`.
 
 use std::io;
 
 use crate::error::BenchError;
 
-/// Memory of a process, in bytes.
+/// The memory use of a process.
 #[derive(Debug, Clone, Copy)]
 pub struct Memory {
-    /// Resident now.
+    /// Resident size at the time of the reading, in bytes.
     pub resident: u64,
-    /// The most that it has ever been.
+    /// Largest resident size since the process started, in bytes.
     pub peak: u64,
 }
 
 impl Memory {
-    /// Reads the memory of the process with this id, or of `self`; none if it has ended and is not waited for yet.
+    /// Reads the memory of the process with this id, or of this process if the id is `self`.
+    ///
+    /// Returns `None` if the process has ended and its parent has not waited for it yet.
     ///
     /// # Errors
-    /// If there is no such process.
+    /// If there is no such process, or its status file can't be read.
     pub fn of(process: &str) -> Result<Option<Memory>, BenchError> {
-        let path = path(process);
+        let path = status_path(process);
         let status = std::fs::read_to_string(&path).map_err(|source| BenchError::File { path, source })?;
         let bytes = |key: &str| {
             let line = status.lines().find_map(|line| line.strip_prefix(key));
@@ -32,13 +34,13 @@
     /// Reads the memory of this process.
     ///
     /// # Errors
-    /// If the kernel does not report it.
+    /// If the kernel does not report the memory of this process.
     pub fn own() -> Result<Memory, BenchError> {
-        let source = io::Error::new(io::ErrorKind::InvalidData, "it tells no resident size");
-        Memory::of("self")?.ok_or_else(|| BenchError::File { path: path("self"), source })
+        let source = io::Error::new(io::ErrorKind::InvalidData, "no number in its VmRSS or VmHWM line");
+        Memory::of("self")?.ok_or_else(|| BenchError::File { path: status_path("self"), source })
     }
 }
 
-fn path(process: &str) -> String {
+fn status_path(process: &str) -> String {
     format!("/proc/{process}/status")
 }
--- a/crates/scale-bench/src/report.rs
+++ b/crates/scale-bench/src/report.rs
@@ -1,4 +1,4 @@
-//! How a run's figures are printed: JSON for files, a table for people.
+//! The figures of a run, printed as a table for people or as JSON for programs.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -8,7 +8,7 @@
 
 use crate::error::BenchError;
 
-/// Where figures go.
+/// Form and destination of the printed figures.
 #[derive(Args, Debug, Clone, Default)]
 pub struct Output {
     /// Print JSON in place of the table
@@ -22,47 +22,47 @@
 /// One figure of a run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Figure {
-    /// Its name, the same at every size, such as `cpu_idle`.
+    /// Name of the figure, the same at every fleet size, such as `cpu_idle_percent`.
     pub name: String,
-    /// Its value, in `unit`.
+    /// Value of the figure, in `unit`.
     pub value: f64,
-    /// Its unit, such as `us`, `%` or `bytes/s`.
+    /// Unit of the value, such as `us`, `%` or `bytes/s`; empty for some counts.
     pub unit: String,
 }
 
-/// What one run measured.
+/// The figures of one run, with what is needed to repeat and to read them.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The subcommand.
+    /// Name of the subcommand.
     pub command: String,
-    /// All arguments of the run as given or defaulted, so that it can be made again.
+    /// All arguments of the run, given or default, so that the run can be repeated.
     pub arguments: serde_json::Value,
-    /// The figures.
+    /// The figures, in the order in which they are printed.
     pub figures: Vec<Figure>,
-    /// What has to be known to read them: what share of the fleet was run, what is scaled and how.
+    /// Facts needed to read the figures: what share of the fleet was run, and what was scaled and how.
     pub notes: Vec<String>,
 }
 
 impl Report {
-    /// A report without figures yet.
+    /// Creates a report without figures and notes.
     pub fn new(command: &str, arguments: serde_json::Value) -> Self {
         Report { command: command.into(), arguments, figures: Vec::new(), notes: Vec::new() }
     }
 
-    /// Adds a figure.
+    /// Appends a figure.
     pub fn add(&mut self, name: &str, value: f64, unit: &str) {
         self.figures.push(Figure { name: name.into(), value, unit: unit.into() });
     }
 
-    /// A figure's value.
+    /// Returns the value of the first figure with this name, or `None` if there is none.
     pub fn get(&self, name: &str) -> Option<f64> {
         self.figures.iter().find(|figure| figure.name == name).map(|figure| figure.value)
     }
 
-    /// Prints the report and writes it to the file, as the arguments say.
+    /// Prints the report as JSON or as a table, and writes its JSON to the file that `output` names, if any.
     ///
     /// # Errors
-    /// If it can't be printed or written.
+    /// If the report can't be encoded or printed, or the file can't be written.
     pub fn print(&self, output: &Output) -> Result<(), BenchError> {
         print_result(self, &self.table(), output)
     }
@@ -80,22 +80,24 @@
     }
 }
 
-/// Prints a result as JSON or as its table, and writes the JSON to a file, as the arguments say.
+/// Prints a result as JSON or as `table`, and writes the JSON to the file that `output` names, if any.
 ///
 /// # Errors
-/// If it can't be printed or written.
+/// If the result can't be encoded or printed, or the file can't be written.
 pub fn print_result(result: &impl Serialize, table: &str, output: &Output) -> Result<(), BenchError> {
-    let json = serde_json::to_string_pretty(result)
-        .map_err(|error| BenchError::System { what: "cannot write the result", source: error.into() })?;
+    let json = serde_json::to_string_pretty(result).map_err(|error| BenchError::System {
+        what: "cannot encode the result as JSON",
+        source: error.into(),
+    })?;
     if let Some(path) = &output.out {
-        write(path, &json)?;
+        write_file(path, &json)?;
     }
     let text = if output.json { &json } else { table };
     writeln!(std::io::stdout(), "{}", text.trim_end())
         .map_err(|source| BenchError::System { what: "cannot print the result", source })
 }
 
-fn write(path: &Path, text: &str) -> Result<(), BenchError> {
+fn write_file(path: &Path, text: &str) -> Result<(), BenchError> {
     std::fs::write(path, format!("{text}\n"))
         .map_err(|source| BenchError::File { path: path.display().to_string(), source })
 }
