--- a/crates/scale-bench/tests/counter_service.rs
+++ b/crates/scale-bench/tests/counter_service.rs
@@ -1,4 +1,4 @@
-//! The fake counter service, over a loopback socket.
+//! Tests of the fake counter service over a loopback connection.
 
 mod common {
     pub mod connection;
@@ -9,10 +9,10 @@
 use common::connection::Connection;
 use scale_bench::fakes::counter_service::{CallCounts, CounterCapacity, CounterService};
 
-/// Longer than the shortest lifetime of a counter, 1 ms.
-const SHORTEST_LIFETIME_IS_OVER: Duration = Duration::from_millis(20);
+/// A wait after which a counter with the shortest lifetime, 1 ms, has expired.
+const AFTER_SHORTEST_LIFETIME: Duration = Duration::from_millis(20);
 
-/// A call as a RESP2 array of bulk strings.
+/// Encodes a call as a RESP2 array of bulk strings.
 fn call(words: &[&str]) -> String {
     let mut text = format!("*{}\r\n", words.len());
     for word in words {
@@ -27,7 +27,8 @@
 
 #[tokio::test]
 async fn pipelined_calls_are_answered_in_order() {
-    let service = CounterService::start(capacity(1000.0)).await.expect("a port");
+    let service =
+        CounterService::start(capacity(1000.0)).await.expect("the service should listen on a free port");
     let mut connection = Connection::open(service.address()).await;
     let longest_name = "n".repeat(64);
     let too_long_name = "n".repeat(65);
@@ -50,16 +51,17 @@
         for expected in reply {
             let line = connection.read_line().await;
             let is_error = *expected == "-ERR" && line.starts_with("-ERR ");
-            assert!(line == *expected || is_error, "{words:?}: {line}");
+            assert!(line == *expected || is_error, "{words:?}: unexpected reply line {line}");
         }
     }
 
-    // A counter whose lifetime is over starts at 0.
-    tokio::time::sleep(SHORTEST_LIFETIME_IS_OVER).await;
+    // An expired counter starts again at 0.
+    tokio::time::sleep(AFTER_SHORTEST_LIFETIME).await;
     connection.write(&call(&["INCRTTL", &longest_name, "4", "1000"])).await;
     assert_eq!(connection.read_line().await, "$1");
     assert_eq!(connection.read_line().await, "4");
 
+    // The reply that was withheld comes once the service is not silent any more.
     service.set_silent(true);
     connection.write(&call(&["INCRTTL", "a", "1", "1000"])).await;
     connection.assert_silent().await;
@@ -70,9 +72,10 @@
 }
 
 #[tokio::test]
-async fn calls_beyond_the_capacity_are_answered_busy() {
-    // The burst is one call, and no capacity comes back.
-    let service = CounterService::start(capacity(0.0)).await.expect("a port");
+async fn calls_beyond_the_capacity_get_busy() {
+    // At a rate of 0, only the first call is accepted, because the burst is one call and is never refilled.
+    let service =
+        CounterService::start(capacity(0.0)).await.expect("the service should listen on a free port");
     let mut connection = Connection::open(service.address()).await;
     connection.write(&call(&["INCRTTL", "a", "1", "1000"]).repeat(3)).await;
     for expected in ["$1", "1", "-BUSY", "-BUSY"] {
--- a/crates/scale-bench/tests/endpoint_list.rs
+++ b/crates/scale-bench/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list of the fake discovery agent.
+//! Tests of the endpoint list of the fake discovery agent.
 
 mod common {
     pub mod lists;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn every_endpoint_has_a_name_and_a_loopback_address_of_its_own() {
+fn endpoints_have_unique_names_and_unique_loopback_addresses() {
     let list = EndpointList::new(ListShape { name_length: 20, ..list_shape(46_000, 7) });
     let names: BTreeSet<_> = list.entries().iter().map(|entry| &entry.name).collect();
     let addresses: BTreeSet<_> = list.entries().iter().map(|entry| entry.address).collect();
@@ -24,6 +24,7 @@
     assert!(names.iter().all(|name| name.len() == 20));
 }
 
+/// Runs with the same seed can be compared only if they work on the same list and changes.
 #[test]
 fn same_seed_gives_the_same_list_and_changes() {
     let changed_list = |seed| {
@@ -37,6 +38,7 @@
     assert_ne!(changed_list(7), changed_list(8));
 }
 
+/// A client that applies the delta from its version must not miss a change, however old its version is.
 #[test]
 fn delta_from_any_version_leads_to_the_current_list() {
     let mut list = endpoint_list(40, 3);
@@ -48,7 +50,10 @@
     }
     let current = by_name(list.entries());
     assert!(current.len() >= 40);
-    assert!(current.values().any(|entry| entry.started_at_ms > 0), "endpoints are replaced");
+    assert!(
+        current.values().any(|entry| entry.started_at_ms > 0),
+        "the changes should have started new endpoints"
+    );
     for (version, mut entries) in versions {
         assert!(list.has_delta_from(version));
         let delta = list.delta_from(version);
@@ -61,11 +66,14 @@
                 entries.insert(entry.name.clone(), entry);
             }
         }
-        assert_eq!(entries, current, "from {version}");
+        assert_eq!(entries, current, "the delta from version {version} should lead to the current list");
     }
     list.replace_all();
     assert!(!list.has_delta_from(first_version));
     assert!(!list.has_delta_from(list.version() - 1));
     assert!(list.has_delta_from(list.version()));
-    assert!(list.entries().iter().all(|entry| !current.contains_key(&entry.name)), "all are replaced");
+    assert!(
+        list.entries().iter().all(|entry| !current.contains_key(&entry.name)),
+        "replace_all should keep no endpoint of the list before"
+    );
 }
--- a/crates/scale-bench/tests/endpoints.rs
+++ b/crates/scale-bench/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! The fake endpoints, over loopback sockets.
+//! Tests of the fake endpoints over loopback connections.
 
 mod common {
     pub mod connection;
@@ -11,7 +11,7 @@
 use common::connection::Connection;
 use scale_bench::fakes::endpoints::{request_id, Endpoints, WorkModel};
 
-/// A request with these headers, each ended by a line break.
+/// Encodes a request with these headers, each of which ends with a line break.
 fn post(headers: &str) -> String {
     format!("POST /x?key=1 HTTP/1.1\r\nHost: x\r\n{headers}Content-Length: 2\r\n\r\nhi")
 }
@@ -21,7 +21,7 @@
 }
 
 #[tokio::test]
-async fn endpoints_are_distinguished_by_their_addresses_and_count_what_arrives() {
+async fn endpoints_count_arrivals_and_are_distinguished_by_address() {
     let work = WorkModel {
         seed: 1,
         mean: Duration::from_millis(2),
@@ -29,13 +29,13 @@
         body_length: 40,
         idle_timeout: Duration::from_secs(3600),
     };
-    let endpoints = Endpoints::start(work, 10).expect("the loopback device");
+    let endpoints = Endpoints::start(work, 10).expect("the endpoints should listen on the loopback device");
     let address = |last_byte| SocketAddr::from((Ipv4Addr::new(127, 1, 2, last_byte), endpoints.port()));
     let mut first = Connection::open(address(3)).await;
     let mut second = Connection::open(address(4)).await;
     for number in [3, 3, 4] {
         first.write(&post_with_id(&request_id(number))).await;
-        let response = first.response().await;
+        let response = first.read_response().await;
         assert_eq!(response.status, 200);
         assert_eq!(response.body.as_bytes(), &work.response_body(number)[..]);
         assert_eq!(response.body.len(), 40);
@@ -43,15 +43,15 @@
         assert!(endpoints.service_time(number) >= work.work_time(number));
     }
     second.write(&post_with_id(&request_id(9))).await;
-    assert_eq!(second.response().await.status, 200);
+    assert_eq!(second.read_response().await.status, 200);
 
     let unknown_id = request_id(10);
     for (request, status) in [(post_with_id(&unknown_id), 400), (post_with_id("3"), 400), (post(""), 404)] {
         second.write(&request).await;
-        assert_eq!(second.response().await.status, status, "{request}");
+        assert_eq!(second.read_response().await.status, status, "status of the request {request}");
     }
-    second.get("/alive").await;
-    assert_eq!(second.response().await.status, 200);
+    second.send_get("/alive").await;
+    assert_eq!(second.read_response().await.status, 200);
 
     let counts = endpoints.counts();
     assert_eq!(counts.connections, 2);
