--- a/crates/scale-bench/src/fleet.rs
+++ b/crates/scale-bench/src/fleet.rs
@@ -1,7 +1,9 @@
-//! Hollow nodes on one simulated clock, before model endpoints and one model counter service.
+//! The `fleet` command: simulates a fleet of hollow nodes, their endpoints and one counter service on one
+//! clock.
 //!
-//! Each hollow node is a real decision engine with real settings; what its process would do with sockets is
-//! modelled. One ordered queue holds all events, so the same seed and arguments give the same figures.
+//! Each hollow node runs a real decision engine with real settings. The socket work of its process is
+//! modelled, and so are the endpoints and the counter service. One ordered queue holds all events, so a run
+//! with the same seed and arguments yields the same figures.
 
 use std::time::Instant;
 
@@ -33,39 +35,43 @@
 pub use failure_name::Failure;
 pub use scenario::Scenario;
 
-/// The world runs on for this long after the measured time, until its last requests are over: longer than the
-/// longest deadline.
+/// The simulation continues for this long after the measured time, so that the last measured requests end. It
+/// is longer than the longest total timeout of a request class.
 const DRAIN_TIME: Micros = 3_500_000;
 
-/// Arguments of `fleet`.
+/// The arguments of `fleet`.
 #[derive(Args, Debug, Clone, Serialize)]
 pub struct Options {
-    /// What is run.
+    /// The fleet to simulate.
     #[command(flatten)]
     #[serde(flatten)]
     pub scenario: Box<Scenario>,
-    /// Where the figures go.
+    /// The format and destination of the figures.
     #[command(flatten)]
     #[serde(skip)]
     pub output: Output,
 }
 
-/// Makes the run and prints its figures.
+/// Runs the simulation and prints its figures.
 ///
 /// # Errors
-/// If the arguments make no sense together or the figures can't be written.
+/// Returns an error if the arguments contradict each other, if the run would exceed the memory limit, if the
+/// memory of this process can't be read, or if the figures can't be written.
 pub fn run(options: Options) -> Result<(), BenchError> {
     measure(&options.scenario)?.print(&options.output)
 }
 
-/// Makes the run and returns its figures.
+/// Runs the simulation and returns its figures.
 ///
 /// # Errors
-/// If the arguments make no sense together.
+/// Returns an error if the arguments contradict each other, if the run would exceed the memory limit, or if
+/// the memory of this process can't be read.
 pub fn measure(scenario: &Scenario) -> Result<Report, BenchError> {
     scenario.check()?;
-    let arguments = serde_json::to_value(scenario)
-        .map_err(|error| BenchError::System { what: "cannot write the arguments", source: error.into() })?;
+    let arguments = serde_json::to_value(scenario).map_err(|error| BenchError::System {
+        what: "cannot serialize the arguments as JSON",
+        source: error.into(),
+    })?;
     let mut report = Report::new("fleet", arguments);
     let started_at = Instant::now();
     let mut world = world::World::new(scenario);
--- a/crates/scale-bench/src/fleet/accounts.rs
+++ b/crates/scale-bench/src/fleet/accounts.rs
@@ -1,4 +1,7 @@
-//! Accounts: how many requests they send, their quotas, and exact token buckets that no node sees.
+//! Draws the accounts: their request rates, their plans, and the request classes.
+//!
+//! Each account has exact token buckets that are charged for its requests at all nodes. The buckets determine
+//! which requests are within the quota. Nodes have no access to them.
 
 use edge_node::decision::{DeduplicationScope, Idempotency, Micros, Plan, RequestClass};
 use rand::rngs::StdRng;
@@ -6,7 +9,7 @@
 
 use super::random::pick_by_share;
 
-/// A value and the share of the accounts that have it.
+/// A value and the share of the accounts that have it, from 0 to 1.
 struct Weighted {
     value: f64,
     share: f64,
@@ -16,33 +19,36 @@
     Weighted { value, share }
 }
 
-/// Relative sizes of the plans with a quota.
+/// Quotas of the plans that have one, relative to the smallest, with the share of the accounts on each plan.
 const PLAN_SIZES: [Weighted; 3] = [weighted(1.0, 0.6), weighted(4.0, 0.3), weighted(16.0, 0.1)];
-/// Requested units relative to the quota: far below it, close to it, twice as much.
+/// Units that an account requests relative to its quota: far below the quota, close to it, and twice the
+/// quota.
 const UTILIZATIONS: [Weighted; 3] = [weighted(0.35, 0.6), weighted(0.9, 0.25), weighted(2.0, 0.15)];
-/// A plan's burst is what its quota adds in this many seconds...
+/// A plan's burst equals the units that its quota grants in this many seconds, but is at least
+/// [`MIN_BURST_UNITS`].
 const BURST_SECONDS: f64 = 5.0;
-/// ... but at least this many units.
+/// The smallest burst of a plan with a quota, in units.
 const MIN_BURST_UNITS: f64 = 6.0;
-/// Share of the requests that use two units; all others use one.
+/// Share of the requests that use two units. All other requests use one.
 const TWO_UNIT_SHARE: f64 = 0.2;
-/// Index of the plan without a quota, which comes last.
+/// Index of the plan without a quota. It follows the plans with a quota.
 const UNLIMITED_PLAN: usize = PLAN_SIZES.len();
-/// On the wire an account's number has this many bits...
+/// Number of bits of an account's key.
 const ACCOUNT_KEY_BITS: u32 = 33;
-/// ... of which the low ones are its index, so that no two accounts share a number.
+/// Number of low bits of an account's key that hold the account's index, so that no two accounts share a key.
+/// The other bits are random.
 pub const ACCOUNT_INDEX_BITS: u32 = 20;
 
-/// Whether a request fits into its account's quota.
+/// Whether a request is within its account's quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuotaStanding {
-    /// It fits, or its plan has no quota.
+    /// It is within the quota, or its plan has no quota.
     Within,
-    /// It is beyond the quota.
+    /// It exceeds the quota.
     Beyond,
 }
 
-/// A token bucket with exact knowledge of all nodes.
+/// A token bucket that is charged for the requests of one account at all nodes without delay.
 #[derive(Clone, Copy)]
 struct ExactBucket {
     tokens: f64,
@@ -50,6 +56,7 @@
 }
 
 impl ExactBucket {
+    /// Refills the bucket up to `now` and takes `units`, unless it holds fewer.
     fn take(&mut self, now: Micros, plan: &Plan, units: f64) -> QuotaStanding {
         if plan.quota_units_per_second <= 0.0 {
             return QuotaStanding::Within;
@@ -66,39 +73,40 @@
     }
 }
 
-/// One account.
+/// An account and what was counted for it.
 pub struct Account {
-    /// Its number on the wire.
+    /// The account id that nodes receive with its requests.
     pub key: u64,
-    /// Index of its plan.
+    /// Index of its plan in [`Population::plans`].
     pub plan: usize,
-    /// Requests a second, not counting retries.
+    /// Mean request rate in requests/s, not counting retries.
     pub rate: f64,
-    /// First of the nodes that get its requests.
+    /// Index of the first of the consecutive nodes that receive its requests.
     pub first_node: u32,
-    /// Units requested within the quota in the measured time.
+    /// Units of its requests within the quota that were first sent in the measured time.
     pub requested_units: f64,
-    /// Units served within the quota in the measured time.
+    /// Units of its requests from the measured time that were served and whose serving try was within the
+    /// quota.
     pub served_units: f64,
-    /// Charged for each request when it is first sent.
+    /// Charged for each request when the client first sends it.
     requested: ExactBucket,
-    /// Charged for each try for which a node starts an attempt.
+    /// Charged for each try when a node starts the first attempt for it.
     admitted: ExactBucket,
 }
 
 impl Account {
-    /// Charges a request that is sent for the first time.
+    /// Charges a request that a client sends for the first time, and returns whether it is within the quota.
     pub fn charge_request(&mut self, now: Micros, plan: &Plan, units: f64) -> QuotaStanding {
         self.requested.take(now, plan, units)
     }
 
-    /// Charges a try for which a node starts its first attempt.
+    /// Charges a try for which a node starts the first attempt, and returns whether it is within the quota.
     pub fn charge_admission(&mut self, now: Micros, plan: &Plan, units: f64) -> QuotaStanding {
         self.admitted.take(now, plan, units)
     }
 }
 
-/// Draws the units of one request.
+/// Draws the units of one request: 1 or 2.
 pub fn draw_units(random: &mut StdRng) -> f64 {
     if random.random_bool(TWO_UNIT_SHARE) {
         2.0
@@ -107,15 +115,16 @@
     }
 }
 
-/// What the accounts of a run have in common.
+/// The parameters from which the accounts of a run are drawn.
 pub struct AccountMix {
-    /// How many accounts there are.
+    /// Number of accounts.
     pub count: usize,
-    /// How many nodes there are.
+    /// Number of nodes.
     pub nodes: u32,
-    /// Requests a second of all accounts together, not counting retries.
+    /// Request rate of all accounts together in requests/s, not counting retries.
     pub rate: f64,
-    /// Share of that rate that accounts under a quota send.
+    /// Share of `rate` that accounts with a quota send, and the probability that an account has a quota; 0 to
+    /// 1.
     pub quota_share: f64,
 }
 
@@ -123,18 +132,18 @@
 pub struct Population {
     /// The accounts.
     pub accounts: Vec<Account>,
-    /// The plans, by index.
+    /// The plans; [`Account::plan`] is an index into them.
     pub plans: Vec<Plan>,
 }
 
-/// What is drawn for an account before the rates are scaled.
+/// The properties of an account that are drawn before its rate is scaled.
 struct Profile {
     plan_size: usize,
     relative_rate: f64,
     under_quota: bool,
 }
 
-/// Factors from relative rates to requests a second.
+/// Factors that convert relative rates to requests/s.
 struct RateScale {
     under_quota: f64,
     unlimited: f64,
@@ -144,7 +153,8 @@
     fn new(profiles: &[Profile], mix: &AccountMix) -> Self {
         let with_quota = total_rate(profiles, true);
         let without_quota = total_rate(profiles, false);
-        // With few accounts one of the groups may be empty; the other one then sends everything.
+        // If there are few accounts, one of the two groups may be empty. The other group then sends all
+        // requests.
         let share = match (with_quota > 0.0, without_quota > 0.0) {
             (true, true) => mix.quota_share,
             (true, false) => 1.0,
@@ -162,7 +172,7 @@
     selected.map(|profile| profile.relative_rate).sum::<f64>()
 }
 
-/// Draws the accounts and their plans; the token buckets are full at `now`.
+/// Draws the accounts and derives the plans from them. All token buckets are full at `now`.
 pub fn populate(random: &mut StdRng, mix: &AccountMix, now: Micros) -> Population {
     let mut profiles: Vec<Profile> = Vec::with_capacity(mix.count);
     for _ in 0..mix.count {
@@ -205,7 +215,7 @@
     pick_by_share(random, shares).unwrap_or(table.len() - 1)
 }
 
-/// The plans with a quota by size, and last the one without.
+/// Returns the plans with a quota in the order of [`PLAN_SIZES`], followed by the plan without one.
 fn plans(scale: &RateScale) -> Vec<Plan> {
     let mut plans = Vec::with_capacity(PLAN_SIZES.len() + 1);
     for size in &PLAN_SIZES {
@@ -222,10 +232,10 @@
     plans
 }
 
-/// The share of the requests that each of the [`classes`] has.
+/// Share of the requests that belong to each of the [`classes`], by class index.
 pub const CLASS_SHARES: [f64; 3] = [0.7, 0.2, 0.1];
 
-/// The classes of request: one for each kind of idempotency.
+/// Returns the request classes, one for each kind of idempotency.
 pub fn classes() -> Vec<RequestClass> {
     let class = |idempotency, priority_weight, latency_objective, total_timeout| RequestClass {
         latency_objective,
--- a/crates/scale-bench/src/fleet/counter.rs
+++ b/crates/scale-bench/src/fleet/counter.rs
@@ -1,33 +1,34 @@
-//! The model counter service: parts that serve calls one after the other, each at its share of a given rate.
+//! Models the counter service: it consists of parts, each of which serves its calls one at a time at an equal
+//! share of the service's rate.
 
 use std::collections::HashMap;
 
 use edge_node::decision::{CounterKey, Micros, Outcome};
 
-/// No counter is kept for longer.
+/// The longest time for which the service keeps a counter, whatever the call asks for.
 const MAX_KEEP_FOR: Micros = 60_000_000;
-/// Expired counters are removed this often.
+/// Least time between two removals of expired counters.
 const SWEEP_INTERVAL: Micros = 10_000_000;
 
-/// What the counter service does with calls.
+/// How the counter service responds to calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CounterMode {
-    /// Serves them.
+    /// It serves them.
     Serving,
-    /// Accepts them, adds nothing and never replies.
+    /// It accepts them, does not add their amounts and never replies.
     Silent,
-    /// Replies `-BUSY` to each.
+    /// It rejects each of them with `-BUSY`.
     Busy,
 }
 
-/// The reply to a call.
+/// The reply to a counter call.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Reply {
     /// When the reply leaves the service.
     pub at: Micros,
     /// `Ok` or `Rejected`.
     pub outcome: Outcome,
-    /// The counter's total after the call; valid with `Ok`.
+    /// The counter's total after the call, in units. Only valid if the outcome is `Ok`.
     pub total: f64,
 }
 
@@ -37,22 +38,23 @@
     expires_at: Micros,
 }
 
-/// One counter service.
+/// The state of the counter service.
 pub struct CounterService {
     mode: CounterMode,
-    /// By part, when it has served all calls that it accepted.
+    /// For each part, the time at which it has served all calls that it accepted.
     free_at: Vec<Micros>,
     time_per_call: Micros,
-    /// A part whose backlog takes longer than this rejects calls.
+    /// A part rejects a call if its backlog takes longer than this to serve.
     max_backlog: Micros,
-    /// Never iterated in order: the order of a hash map would differ from run to run.
+    /// Totals by counter key. No result may depend on the iteration order, because it differs from run to
+    /// run.
     totals: HashMap<u64, Total>,
     last_sweep_at: Micros,
 }
 
 impl CounterService {
-    /// Creates a service of `parts` parts that serves `rate` calls a second in all and queues up to
-    /// `queue_length` calls at each part.
+    /// Creates a service of `parts` parts that together serve `rate` calls/s. Each part queues up to
+    /// `queue_length` calls.
     pub fn new(rate: f64, parts: usize, queue_length: u32) -> Self {
         let time_per_call = ((parts as f64 / rate * 1e6).round() as Micros).max(1);
         CounterService {
@@ -65,12 +67,15 @@
         }
     }
 
-    /// Sets what the service does with calls from now on.
+    /// Sets how the service responds to calls from now on.
     pub fn set_mode(&mut self, mode: CounterMode) {
         self.mode = mode;
     }
 
-    /// Accepts a call that arrives now; `None` if it will never be answered.
+    /// Handles a call that adds `amount` units to a counter and arrives now. A counter that this call creates
+    /// expires `keep_for` after the call is served.
+    ///
+    /// Returns `None` if the service never replies.
     pub fn increment(
         &mut self,
         now: Micros,
--- a/crates/scale-bench/src/fleet/event_queue.rs
+++ b/crates/scale-bench/src/fleet/event_queue.rs
@@ -1,4 +1,4 @@
-//! The one ordered event queue of a run, with its simulated clock.
+//! The event queue of a simulation run, which also is the simulated clock.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -26,13 +26,14 @@
 }
 
 impl<E> Ord for Entry<E> {
-    /// Reversed, because the heap returns its greatest entry first and the earliest one is needed.
+    /// Compares in reverse order, because the heap returns its greatest entry first and the queue needs the
+    /// earliest.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-/// Events ordered by time; events of the same time keep the order in which they were scheduled.
+/// Events ordered by time. Events of the same time keep the order in which they were scheduled.
 pub struct EventQueue<E> {
     heap: BinaryHeap<Entry<E>>,
     sequence: u64,
@@ -40,23 +41,24 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Creates an empty queue whose clock shows `now`.
+    /// Creates an empty queue whose clock starts at `now`.
     pub fn new(now: Micros) -> Self {
         EventQueue { heap: BinaryHeap::new(), sequence: 0, now }
     }
 
-    /// The simulated time: that of the latest event taken out, in microseconds.
+    /// Returns the simulated time in microseconds: the time of the event that was last taken out, or the
+    /// start time.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// Schedules an event; a time in the past counts as now.
+    /// Schedules an event at `at`, or now if `at` is in the past.
     pub fn schedule(&mut self, at: Micros, event: E) {
         self.sequence += 1;
         self.heap.push(Entry { at: at.max(self.now), sequence: self.sequence, event });
     }
 
-    /// Takes the next event out and moves the clock to it.
+    /// Takes the next event out and advances the clock to its time. Returns `None` if no event is scheduled.
     pub fn pop(&mut self) -> Option<E> {
         let entry = self.heap.pop()?;
         self.now = entry.at;
--- a/crates/scale-bench/src/fleet/failure.rs
+++ b/crates/scale-bench/src/fleet/failure.rs
@@ -1,6 +1,7 @@
-//! Failures by name: what breaks, when, and what recovers.
+//! Turns a named failure into timed steps, and each step into effects on nodes, endpoints, the network and
+//! the counter service.
 //!
-//! A [`FailurePlan`] only says what happens; the simulated world carries its effects out.
+//! A [`FailurePlan`] only decides which effects a step has. The simulated world applies them.
 
 use edge_node::decision::Micros;
 use rand::rngs::StdRng;
@@ -12,9 +13,9 @@
 use super::node::{EndpointIndex, NodeIndex};
 use super::scenario::Scenario;
 
-/// How long an endpoint of a release drains before its process ends, in microseconds.
+/// Time for which an endpoint that a release replaces drains before its process ends.
 const DRAIN_TIME: Micros = 2_000_000;
-/// With `restart-tenth` one node in this many restarts.
+/// The failure `restart-tenth` restarts one node in this many.
 const RESTARTED_NODE_DIVISOR: usize = 10;
 
 /// One step of a failure.
@@ -24,13 +25,13 @@
     Start,
     /// The failure ends.
     End,
-    /// This group of a release drains.
+    /// The endpoints of this group of a release start to drain.
     Drain(u32),
-    /// This group of a release is replaced.
+    /// The endpoints of this group of a release are replaced.
     Replace(u32),
 }
 
-/// A step and its time.
+/// A step and the time at which it is carried out.
 #[derive(Debug, Clone, Copy)]
 pub struct ScheduledStep {
     /// When it is carried out.
@@ -39,38 +40,39 @@
     pub step: FailureStep,
 }
 
-/// What a step does to the world. The effects of a step are carried out in their order.
+/// One effect of a step on the simulated world. The effects of a step are applied in the order in which they
+/// are returned.
 #[derive(Debug, Clone, Copy)]
 pub enum FailureEffect {
     /// A node's process ends and its connections are reset.
     StopNode(NodeIndex),
-    /// A node becomes unresponsive.
-    VanishNode(NodeIndex),
-    /// A node's process starts again after the boot time.
+    /// A node becomes unresponsive, and its clients get no notice.
+    HangNode(NodeIndex),
+    /// A new process of a node starts after the boot time.
     BootNode(NodeIndex),
     /// An endpoint becomes unresponsive.
-    VanishEndpoint(EndpointIndex),
-    /// A vanished endpoint starts again and has to warm up.
+    HangEndpoint(EndpointIndex),
+    /// An unresponsive endpoint starts again and has to warm up.
     RestartEndpoint(EndpointIndex),
-    /// The list shows an endpoint as draining.
+    /// The endpoint list shows an endpoint as draining.
     DrainEndpoint(EndpointIndex),
     /// An endpoint's process ends and a new endpoint starts in its zone.
     ReplaceEndpoint(EndpointIndex),
-    /// A region is cut off from all others; `None` joins it to them again.
+    /// This region is cut off from all others. `None` reconnects the region that was cut off.
     IsolateRegion(Option<u32>),
-    /// The counter service changes what it does with calls.
+    /// The counter service changes how it responds to calls.
     SetCounterMode(CounterMode),
 }
 
-/// Where nodes and endpoints are when a step is carried out.
+/// The zones of nodes and endpoints when a step is carried out.
 pub struct FleetLayout {
-    /// By node, its zone.
+    /// The zone of each node, by node index.
     pub node_zones: Vec<u32>,
-    /// By endpoint, its zone.
+    /// The zone of each endpoint, by endpoint index.
     pub endpoint_zones: Vec<u32>,
 }
 
-/// The failure of one run.
+/// The failure of one run and the nodes and endpoints that were drawn for it.
 pub struct FailurePlan {
     failure: Failure,
     starts_at: Micros,
@@ -80,10 +82,11 @@
     rack_share: f64,
     release_share: f64,
     release_steps: u32,
-    /// What vanished and has to come back.
-    vanished_endpoints: Vec<EndpointIndex>,
-    vanished_nodes: Vec<NodeIndex>,
-    /// The endpoints that a release replaces, in its order.
+    /// Endpoints that the failure made unresponsive and that start again at its end.
+    unresponsive_endpoints: Vec<EndpointIndex>,
+    /// Nodes that the failure made unresponsive and that start again at its end.
+    unresponsive_nodes: Vec<NodeIndex>,
+    /// The endpoints that a release replaces, in the order of their replacement.
     released: Vec<EndpointIndex>,
 }
 
@@ -99,13 +102,14 @@
             rack_share: scenario.rack_share,
             release_share: scenario.release_share,
             release_steps: scenario.release_steps,
-            vanished_endpoints: Vec::new(),
-            vanished_nodes: Vec::new(),
+            unresponsive_endpoints: Vec::new(),
+            unresponsive_nodes: Vec::new(),
             released: Vec::new(),
         }
     }
 
-    /// Draws what has to be known from the start, and returns the steps in the order in which to schedule them.
+    /// Returns the steps in the order in which they have to be scheduled. For a release, draws the endpoints
+    /// to replace.
     pub fn schedule(&mut self, random: &mut StdRng, endpoint_count: usize) -> Vec<ScheduledStep> {
         match self.failure {
             Failure::Calm => Vec::new(),
@@ -120,7 +124,7 @@
         }
     }
 
-    /// Returns the effects of a step.
+    /// Draws the nodes and endpoints that a step affects, and returns the effects of the step in order.
     pub fn effects(
         &mut self,
         step: FailureStep,
@@ -150,18 +154,19 @@
                     .collect()
             }
             Failure::Rack => {
-                self.vanished_endpoints = draw_share(random, layout.endpoint_zones.len(), self.rack_share);
-                self.vanish()
+                self.unresponsive_endpoints =
+                    draw_share(random, layout.endpoint_zones.len(), self.rack_share);
+                self.hang()
             }
             Failure::Zone => {
                 let zone = random.random_range(0..self.zones);
-                self.vanished_endpoints = indices_in_zone(&layout.endpoint_zones, zone);
-                self.vanished_nodes = indices_in_zone(&layout.node_zones, zone);
-                self.vanish()
+                self.unresponsive_endpoints = indices_in_zone(&layout.endpoint_zones, zone);
+                self.unresponsive_nodes = indices_in_zone(&layout.node_zones, zone);
+                self.hang()
             }
             Failure::HalfDown => {
-                self.vanished_nodes = draw(random, node_count, node_count / 2);
-                self.vanish()
+                self.unresponsive_nodes = draw(random, node_count, node_count / 2);
+                self.hang()
             }
             Failure::RegionCut => {
                 let region = random.random_range(0..self.regions);
@@ -184,15 +189,15 @@
         }
     }
 
-    fn vanish(&self) -> Vec<FailureEffect> {
-        let endpoints = self.vanished_endpoints.iter().copied().map(FailureEffect::VanishEndpoint);
-        let nodes = self.vanished_nodes.iter().copied().map(FailureEffect::VanishNode);
+    fn hang(&self) -> Vec<FailureEffect> {
+        let endpoints = self.unresponsive_endpoints.iter().copied().map(FailureEffect::HangEndpoint);
+        let nodes = self.unresponsive_nodes.iter().copied().map(FailureEffect::HangNode);
         endpoints.chain(nodes).collect()
     }
 
     fn recover(&mut self) -> Vec<FailureEffect> {
-        let endpoints = self.vanished_endpoints.drain(..).map(FailureEffect::RestartEndpoint);
-        let nodes = self.vanished_nodes.drain(..).map(FailureEffect::BootNode);
+        let endpoints = self.unresponsive_endpoints.drain(..).map(FailureEffect::RestartEndpoint);
+        let nodes = self.unresponsive_nodes.drain(..).map(FailureEffect::BootNode);
         endpoints.chain(nodes).collect()
     }
 
@@ -207,7 +212,7 @@
         steps
     }
 
-    /// The endpoints of one group of a release.
+    /// Returns the endpoints of one group of a release. The groups differ in size by at most one endpoint.
     fn released_group(&self, group: u32) -> &[EndpointIndex] {
         let count = self.released.len();
         let groups = self.release_steps as usize;
@@ -217,7 +222,7 @@
     }
 }
 
-/// Draws `drawn` of the indices below `count`, in random order.
+/// Draws `drawn` different indices below `count`, in random order.
 fn draw(random: &mut StdRng, count: usize, drawn: usize) -> Vec<usize> {
     let mut order: Vec<usize> = (0..count).collect();
     order.shuffle(random);
@@ -225,7 +230,7 @@
     order
 }
 
-/// Draws a share of the indices below `count`, at least one of them, in random order.
+/// Draws a share of the indices below `count`, but at least one index, in random order.
 fn draw_share(random: &mut StdRng, count: usize, share: f64) -> Vec<usize> {
     let drawn = (count as f64 * share).round() as usize;
     draw(random, count, drawn.max(1))
--- a/crates/scale-bench/src/fleet/failure_name.rs
+++ b/crates/scale-bench/src/fleet/failure_name.rs
@@ -1,28 +1,31 @@
-//! The failures that can be asked for.
+//! The failures that `--fail` can select.
 
 use clap::ValueEnum;
 use serde::Serialize;
 
-/// A failure, or a planned change that has to go unnoticed.
+/// A failure, or a planned change that must not affect clients.
 #[derive(ValueEnum, Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Failure {
     /// Nothing fails
     Calm,
-    /// A tenth of the nodes die at once and start again with empty state and an old list
+    /// A tenth of the nodes stop at the same time and start again with empty state and a stale endpoint list
     RestartTenth,
-    /// A group of servers vanishes silently and returns cold
+    /// A group of servers becomes unresponsive without notice; they start again cold
     Rack,
-    /// A zone's servers and nodes vanish silently and return cold
+    /// All servers and nodes of a zone become unresponsive without notice; they start again, the servers cold
+    /// and the nodes with empty state and a stale endpoint list
     Zone,
-    /// Half of the nodes, drawn by lot, vanish silently and start again with empty state and an old list
+    /// Half of the nodes, drawn at random, become unresponsive without notice; they start again with empty
+    /// state and a stale endpoint list
     HalfDown,
-    /// A region's nodes can't reach the other regions' servers, and the other way round
+    /// A region is cut off: its nodes can't reach servers of other regions, and its servers can't be reached
+    /// from there
     RegionCut,
-    /// The counter takes calls in and says nothing
+    /// The counter service accepts calls and never replies
     CounterSilent,
-    /// The counter turns every call away
+    /// The counter service rejects every call
     CounterBusy,
-    /// A share of the servers is replaced in steps by new ones that start cold
+    /// A share of the servers is replaced in steps by new servers, which start cold
     Release,
 }
--- a/crates/scale-bench/src/fleet/figures.rs
+++ b/crates/scale-bench/src/fleet/figures.rs
@@ -1,14 +1,14 @@
-//! Writes what a fleet run measured as the figures of its report.
+//! Computes the figures of a fleet report from the measurements of the run.
 
 use super::failure_name::Failure;
 use super::measurements::{Measurements, INTERVAL};
 use super::world::World;
 use crate::report::Report;
 
-/// Service has recovered once it is within this of the level before the failure.
+/// Service has recovered once its share is at most this much below the mean share before the failure.
 const RECOVERY_TOLERANCE: f64 = 0.01;
 
-/// Adds all figures of the world to the report.
+/// Adds all figures of the run to the report.
 pub fn add_figures(world: &World, report: &mut Report) {
     let counts = &world.measurements;
     add_requests(world, report);
@@ -83,10 +83,10 @@
     }
 }
 
-/// How evenly the requests are spread over the endpoints that were up and warm throughout.
+/// Adds how evenly the requests are spread over the endpoints that were up and warm throughout the run.
 fn add_load(world: &World, report: &mut Report) {
-    let steady = world.endpoints.iter().filter(|endpoint| endpoint.steady);
-    let mut load: Vec<f64> = steady.map(|endpoint| endpoint.received as f64).collect();
+    let warm_throughout = world.endpoints.iter().filter(|endpoint| endpoint.warm_throughout);
+    let mut load: Vec<f64> = warm_throughout.map(|endpoint| endpoint.received as f64).collect();
     load.sort_unstable_by(f64::total_cmp);
     let summary = Summary::of(&load);
     let mean = summary.mean;
@@ -102,10 +102,10 @@
     report.add("load_variation_by_chance", ratio(1.0, mean.sqrt()), "standard deviation over mean");
 }
 
-/// How many endpoints a node uses and knows, and how many nodes an endpoint is used by.
+/// Adds how many endpoints each node uses and knows, and how many nodes use each endpoint.
 fn add_subsets(world: &World, report: &mut Report) {
-    let steady = world.endpoints.iter().filter(|endpoint| endpoint.steady);
-    let sending_nodes: Vec<f64> = steady.map(|endpoint| f64::from(endpoint.sending_nodes)).collect();
+    let warm_throughout = world.endpoints.iter().filter(|endpoint| endpoint.warm_throughout);
+    let sending_nodes: Vec<f64> = warm_throughout.map(|endpoint| f64::from(endpoint.sending_nodes)).collect();
     add_summary("nodes_per_server", &sending_nodes, "nodes", report);
     add_summary("servers_per_node", &world.endpoints_used_by_node(), "servers met", report);
     add_summary("servers_known_per_node", &world.endpoints_known_by_node(), "servers", report);
@@ -123,7 +123,9 @@
     report.add(&format!("{name}_most"), summary.most, unit);
 }
 
-/// How far service fell, and how long it took to recover.
+/// Adds how far service fell during the failure, and how long it took to recover.
+///
+/// If nothing fails, adds the worst service of any interval only.
 fn add_recovery(world: &World, report: &mut Report) {
     let service = world.measurements.service_by_interval();
     if world.scenario.fail == Failure::Calm {
@@ -133,8 +135,8 @@
     let failure_interval = (world.scenario.fail_at_ms * 1_000 / INTERVAL) as usize;
     let (before, after) = service.split_at(failure_interval.min(service.len()));
     let level_before = Summary::of(before).mean;
-    let last_bad = after.iter().rposition(|level| *level < level_before - RECOVERY_TOLERANCE);
-    let recovered_after = last_bad.map_or(0, |interval| interval + 1);
+    let last_degraded = after.iter().rposition(|level| *level < level_before - RECOVERY_TOLERANCE);
+    let recovered_after = last_degraded.map_or(0, |interval| interval + 1);
     let recovered = if recovered_after < after.len() { 1.0 } else { 0.0 };
     report.add("service_before", level_before, "share");
     report.add("service_least", Summary::of(after).least, "share, worst second");
@@ -148,6 +150,7 @@
     ));
 }
 
+/// The mean and the extremes of some values; all are 0 if there are no values.
 struct Summary {
     mean: f64,
     least: f64,
@@ -165,6 +168,7 @@
     }
 }
 
+/// Returns `part / whole`, or 0 if `whole` is not positive.
 fn ratio(part: f64, whole: f64) -> f64 {
     if whole > 0.0 {
         part / whole
--- a/crates/scale-bench/src/fleet/measurements.rs
+++ b/crates/scale-bench/src/fleet/measurements.rs
@@ -1,4 +1,4 @@
-//! What is counted while the simulated world runs.
+//! Counts what happens in the measured time of a run.
 
 use edge_node::decision::{Micros, Outcome};
 use hdrhistogram::Histogram;
@@ -8,12 +8,14 @@
 use super::request::{ClientRequest, FinalResult};
 use super::scenario::Scenario;
 
-/// Service is looked at in intervals of this length, by when requests were first sent.
+/// Length of the intervals for which service is computed. A request belongs to the interval in which it was
+/// first sent.
 pub const INTERVAL: Micros = 1_000_000;
 
-/// Latencies above this, in microseconds, count as this.
+/// Largest latency that is distinguished, in microseconds. Longer latencies are recorded as this.
 const MAX_LATENCY: u64 = 60_000_000;
 
+/// Units of the requests within quotas that were first sent in one interval.
 #[derive(Default)]
 struct Interval {
     requested_units: f64,
@@ -21,6 +23,7 @@
 }
 
 impl Interval {
+    /// Returns the share of the requested units that was served, or 1 if none were requested.
     fn service(&self) -> f64 {
         if self.requested_units > 0.0 {
             self.served_units / self.requested_units
@@ -30,85 +33,87 @@
     }
 }
 
-/// Final results of requests.
+/// Numbers of requests by final result.
 #[derive(Default)]
 pub struct FinalResults {
-    /// Served.
+    /// Requests that were served.
     pub served: f64,
-    /// Rejected.
+    /// Requests that were rejected.
     pub rejected: f64,
-    /// Failed.
+    /// Requests that failed, including those for which no node was available.
     pub failed: f64,
-    /// Never answered.
+    /// Requests that were never answered.
     pub lost: f64,
 }
 
-/// Attempts that ended otherwise than with a success, by outcome.
+/// Numbers of attempts that failed or were cancelled, by outcome. The outcomes `Error` and `NotSent` are not
+/// counted.
 #[derive(Default)]
 pub struct FailedAttempts {
-    /// Rejected by the endpoint.
+    /// Attempts that the endpoint rejected.
     pub rejected: f64,
-    /// Without a response in time.
+    /// Attempts without a response within their time limit.
     pub timed_out: f64,
-    /// Without a connection.
+    /// Attempts for which no connection could be established.
     pub connect_failed: f64,
-    /// Whose connection was reset.
+    /// Attempts whose connection was reset.
     pub reset: f64,
-    /// Cancelled by the node.
+    /// Attempts that the node cancelled.
     pub cancelled: f64,
 }
 
-/// Counts of the measured time. They are floating-point numbers because figures are ratios of them.
+/// Counts of the measured time. They are floating-point numbers because the figures are ratios of them.
 pub struct Measurements {
     from: Micros,
     until: Micros,
     intervals: Vec<Interval>,
-    /// Requests, without their retries.
+    /// Requests that were first sent in the measured time. Retries are not counted.
     pub requests: f64,
-    /// Requests within their account's quota.
+    /// Requests within the quota of their account.
     pub within_quota: f64,
-    /// Final results of the requests.
+    /// Requests by final result.
     pub results: FinalResults,
-    /// Requests within their account's quota that were rejected in the end.
+    /// Requests within the quota of their account whose final result is a rejection.
     pub rejected_within_quota: f64,
-    /// Requests that were served within their class's latency objective.
+    /// Requests that were served within the latency objective of their class.
     pub on_time: f64,
-    /// Tries that a node accepted and never answered.
+    /// Tries that were sent to a node and never answered.
     pub lost_tries: f64,
-    /// Requests for which the front had no node at the first try.
+    /// Requests for whose first try the front had no available node.
     pub without_node: f64,
-    /// Units of tries under a quota for which an attempt was started.
+    /// Units of the tries of accounts with a quota for which a node started an attempt.
     pub admitted_units: f64,
-    /// The part of them beyond the quota.
+    /// The part of `admitted_units` that was beyond the quota.
     pub admitted_beyond_quota: f64,
-    /// Attempts.
+    /// Attempts that nodes sent.
     pub attempts: f64,
-    /// Attempts that crossed zones.
+    /// Attempts whose node and endpoint are in different zones.
     pub cross_zone: f64,
-    /// Attempts that crossed regions.
+    /// Attempts whose node and endpoint are in different regions.
     pub cross_region: f64,
-    /// Attempts that failed.
+    /// Attempts that failed or were cancelled, by outcome.
     pub failed_attempts: FailedAttempts,
-    /// New connections to endpoints.
+    /// New connections that were established to endpoints.
     pub handshakes: f64,
     /// Calls to the counter service.
     pub counter_calls: f64,
-    /// Calls without a reply in time.
+    /// Calls without a reply within their time limit.
     pub counter_timeouts: f64,
-    /// Replies that rejected a call.
+    /// Replies that reject a call.
     pub counter_rejections: f64,
-    /// Replies that came after the time limit of their call.
+    /// Replies that reached their node after the time limit of the call.
     pub counter_late_replies: f64,
-    /// Endpoints that failed under load while they were warming up.
+    /// Endpoints that failed because of overload while they were warming up.
     pub overloaded: f64,
-    /// Those of them whose load came mostly from nodes that had been notified of the endpoint's start.
+    /// The part of `overloaded` for which more than two thirds of the load came from nodes that had been
+    /// notified of the endpoint's start.
     pub overloaded_by_notified_nodes: f64,
-    /// Time from when a request was first sent to its response, in microseconds.
+    /// Time from the first sending of a served request to its response, in microseconds.
     pub latency: Option<Histogram<u64>>,
 }
 
 impl Measurements {
-    /// Creates counts of zero.
+    /// Creates measurements in which all counts are 0.
     pub fn new(scenario: &Scenario) -> Self {
         let from = scenario.measured_from();
         let until = scenario.measured_until();
@@ -141,17 +146,18 @@
         }
     }
 
-    /// The length of the measured time, in seconds.
+    /// Returns the length of the measured time in seconds.
     pub fn seconds(&self) -> f64 {
         (self.until - self.from) as f64 / 1e6
     }
 
-    /// By interval, the share of the units requested within quotas that was served.
+    /// Returns for each interval the share of the units requested within quotas that was served, from 0 to 1.
+    /// An interval without such units has the share 1.
     pub fn service_by_interval(&self) -> Vec<f64> {
         self.intervals.iter().map(Interval::service).collect()
     }
 
-    /// Counts a request of the measured time that is sent for the first time.
+    /// Counts a request that is first sent in the measured time.
     pub fn request_sent(&mut self, request: &ClientRequest) {
         self.requests += 1.0;
         if request.quota == QuotaStanding::Within {
@@ -162,7 +168,7 @@
         }
     }
 
-    /// Counts the final result of a request of the measured time.
+    /// Counts the final result of a request that was first sent in the measured time.
     pub fn request_completed(
         &mut self,
         request: &ClientRequest,
@@ -198,19 +204,21 @@
         }
     }
 
-    /// Counts a try that its node accepted and never answered.
+    /// Counts a try that is lost at `now`, if that is in the measured time.
     pub fn try_lost(&mut self, now: Micros) {
         if self.is_measured(now) {
             self.lost_tries += 1.0;
         }
     }
 
-    /// Counts a request of the measured time for which the front had no node at the first try.
+    /// Counts a request for whose first try the front had no available node. The request has to be first sent
+    /// in the measured time.
     pub fn no_node_available(&mut self) {
         self.without_node += 1.0;
     }
 
-    /// Counts a try under a quota of the measured time for which the first attempt was started.
+    /// Counts a try for which a node starts the first attempt. The account has to have a quota, and the
+    /// request has to be first sent in the measured time.
     pub fn try_admitted(&mut self, units: f64, quota: QuotaStanding) {
         self.admitted_units += units;
         if quota == QuotaStanding::Beyond {
@@ -218,7 +226,7 @@
         }
     }
 
-    /// Counts an attempt of the measured time.
+    /// Counts an attempt that a node sends in the measured time.
     pub fn attempt_started(&mut self, crosses_zones: bool, crosses_regions: bool) {
         self.attempts += 1.0;
         if crosses_zones {
@@ -229,7 +237,8 @@
         }
     }
 
-    /// Counts the end of an attempt.
+    /// Counts the end of an attempt by outcome, if `now` is in the measured time. Outcomes without a count in
+    /// [`FailedAttempts`] are ignored.
     pub fn attempt_ended(&mut self, now: Micros, outcome: Outcome) {
         if !self.is_measured(now) {
             return;
@@ -245,28 +254,29 @@
         *count += 1.0;
     }
 
-    /// Counts a new connection to an endpoint.
+    /// Counts a new connection to an endpoint, if `now` is in the measured time.
     pub fn connection_opened(&mut self, now: Micros) {
         if self.is_measured(now) {
             self.handshakes += 1.0;
         }
     }
 
-    /// Counts a call to the counter service.
+    /// Counts a call to the counter service, if `now` is in the measured time.
     pub fn counter_called(&mut self, now: Micros) {
         if self.is_measured(now) {
             self.counter_calls += 1.0;
         }
     }
 
-    /// Counts a call without a reply in time.
+    /// Counts a call whose time limit is over at `now` without a reply, if `now` is in the measured time.
     pub fn counter_timed_out(&mut self, now: Micros) {
         if self.is_measured(now) {
             self.counter_timeouts += 1.0;
         }
     }
 
-    /// Counts a reply of the counter service; `is_late` if its call had timed out.
+    /// Counts a reply of the counter service, if `now` is in the measured time. `is_late` says that the call
+    /// had already timed out.
     pub fn counter_replied(&mut self, now: Micros, outcome: Outcome, is_late: bool) {
         if !self.is_measured(now) {
             return;
@@ -279,7 +289,7 @@
         }
     }
 
-    /// Counts an endpoint that failed under load while it was warming up.
+    /// Counts an endpoint that fails because of overload while it is warming up, at any time of the run.
     pub fn endpoint_overloaded(&mut self, cause: OverloadCause) {
         self.overloaded += 1.0;
         if cause == OverloadCause::NotifiedNodes {
--- a/crates/scale-bench/src/fleet/notes.rs
+++ b/crates/scale-bench/src/fleet/notes.rs
@@ -1,9 +1,9 @@
-//! The notes of a fleet report: what has to be known to read its figures.
+//! Adds the notes to a fleet report that explain how to read its figures.
 
 use super::scenario::Scenario;
 use crate::report::Report;
 
-/// Adds the notes to the report.
+/// Adds the notes that apply to the scenario.
 pub fn add_notes(scenario: &Scenario, report: &mut Report) {
     report.notes.push(share_of_whole_fleet(scenario));
     report.notes.push(
--- a/crates/scale-bench/src/fleet/world.rs
+++ b/crates/scale-bench/src/fleet/world.rs
@@ -1,10 +1,14 @@
-//! The simulated world: clients and a front, hollow nodes, endpoints, the counter service and the endpoint list.
+//! The simulated world: clients and their front, hollow nodes, endpoints, the counter service and the
+//! endpoint list.
 //!
-//! Hollow nodes share this process and nothing else. What the world knows of a try, an endpoint or a list is the
-//! model's own; a node's decision engine is given only what its real process would be given.
+//! The hollow nodes run in one process but share no state. A node's decision engine receives only the
+//! information that a real node's process would receive; all other state of tries, endpoints and lists
+//! belongs to the model.
 //!
-//! The files of this folder hold what happens on each side: [`front`], [`node_actions`], [`attempts`],
-//! [`counter_calls`], [`upstream`], [`discovery`], and [`failures`].
+//! The submodules handle the events: [`front`] those of clients and the front, [`node_actions`] those of
+//! nodes and the actions of their engines, [`attempts`] the sending and the end of attempts,
+//! [`counter_calls`] calls to the counter service, [`upstream`] events at endpoints, [`discovery`] changes of
+//! the endpoint list, and [`failures`] the failure.
 
 use std::collections::HashMap;
 
@@ -37,24 +41,25 @@
 
 use event::WorldEvent;
 
-/// The nodes' first processes start within this time.
+/// Time over which the starts of the nodes' first processes are spread.
 const STARTUP_SPREAD: Micros = 1_000_000;
-/// Odd constant that spreads the seeds of the nodes' engines over all 64 bits.
+/// Odd factor that spreads the seeds of the nodes' engines over all 64 bits.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Everything of one run.
+/// The state of one simulation run.
 pub struct World {
-    /// What is run.
+    /// The arguments of the run.
     pub scenario: Scenario,
-    /// The nodes.
+    /// The nodes, by index.
     pub nodes: Vec<HollowNode>,
-    /// The endpoints: those up from the start, then those that only stale lists name, then later ones.
+    /// The endpoints by index: first those that are up from the start, then those that only stale lists name,
+    /// then those that start during the run.
     pub endpoints: Vec<ModelEndpoint>,
-    /// The accounts.
+    /// The accounts, by index.
     pub accounts: Vec<Account>,
-    /// What was counted so far.
+    /// The counts of the measured time so far.
     pub measurements: Measurements,
-    /// Endpoints that started during the run.
+    /// Number of endpoint starts during the run, restarts included.
     pub cold_starts: u64,
     queue: EventQueue<WorldEvent>,
     random: StdRng,
@@ -64,16 +69,20 @@
     failure_plan: FailurePlan,
     settings: Settings,
     endpoint_model: EndpointModel,
+    /// The index of each endpoint, by its id.
     endpoint_index: HashMap<u64, EndpointIndex>,
-    /// Endpoints that only stale lists name.
+    /// Dead endpoints that only stale lists name.
     stale_endpoints: Vec<EndpointIndex>,
+    /// Tries for which events can still arrive, by try number.
     pending_tries: HashMap<u64, PendingTry>,
-    last_try: u64,
-    last_counter_call: u64,
+    /// Number of the latest try; the first is 1.
+    last_try_number: u64,
+    /// Number of the latest counter call; the first is 1.
+    last_counter_call_number: u64,
 }
 
 impl World {
-    /// Creates a world in which all is up and warm and nothing has started yet.
+    /// Creates a world with warm endpoints, in which nodes and clients have not been started yet.
     pub fn new(scenario: &Scenario) -> Self {
         let mut random = StdRng::seed_from_u64(scenario.seed);
         let population = accounts::populate(&mut random, &setup::account_mix(scenario), CLOCK_START);
@@ -103,12 +112,12 @@
             endpoint_index,
             stale_endpoints: Vec::new(),
             pending_tries: HashMap::new(),
-            last_try: 0,
-            last_counter_call: 0,
+            last_try_number: 0,
+            last_counter_call_number: 0,
         }
     }
 
-    /// Starts nodes and clients and schedules the failure.
+    /// Starts the nodes and the clients, and schedules the failure.
     pub fn start(&mut self) {
         let active = self.endpoints.iter().map(|endpoint| endpoint.list_entry(EndpointState::Active));
         self.list = EndpointListHistory::new(active.collect());
@@ -126,7 +135,7 @@
         self.add_stale_endpoints();
     }
 
-    /// Runs until the warm-up is over, or to this time.
+    /// Runs until the warm-up ends, but not beyond `until`.
     pub fn run_warm_up(&mut self, until: Micros) {
         while let Some(event) = self.next_before(until) {
             if matches!(event, WorldEvent::WarmUpEnds) {
@@ -136,29 +145,31 @@
         }
     }
 
-    /// Runs to this time.
+    /// Runs until `until`.
     pub fn run(&mut self, until: Micros) {
         while let Some(event) = self.next_before(until) {
             self.handle(event);
         }
     }
 
-    /// By node, how many endpoints it knows.
+    /// Returns the number of endpoints that each node knows, by node index.
     pub fn endpoints_known_by_node(&self) -> Vec<f64> {
         self.nodes.iter().map(|node| node.engine.retained_entries().endpoints as f64).collect()
     }
 
-    /// By node, how many endpoints it sent to in the measured time.
+    /// Returns the number of endpoints to which each node sent attempts in the measured time, by node index.
+    /// If a failure has started, only attempts since then count.
     pub fn endpoints_used_by_node(&self) -> Vec<f64> {
         self.nodes.iter().map(|node| node.endpoints_used.len() as f64).collect()
     }
 
-    /// Idle connections over all nodes.
+    /// Returns the number of idle connections of all nodes together.
     pub fn idle_connections(&self) -> usize {
         let oldest = self.oldest_idle_since();
         self.nodes.iter().map(|node| node.idle_connections.count_since(oldest)).sum()
     }
 
+    /// Takes out the next event. Returns `None` if there is none before `until`.
     fn next_before(&mut self, until: Micros) -> Option<WorldEvent> {
         let event = self.queue.pop()?;
         (self.queue.now() < until).then_some(event)
@@ -198,7 +209,7 @@
             }
             WorldEvent::NodeStarts(node) => self.start_node(node),
             WorldEvent::EndpointLossDetected(process) => self.endpoint_loss_detected(process),
-            WorldEvent::FailureStep(step) => self.carry_out(step),
+            WorldEvent::FailureStep(step) => self.apply_failure_step(step),
             WorldEvent::WarmUpEnds => {}
         }
     }
@@ -207,12 +218,13 @@
         let zone = node as u32 % self.scenario.zones;
         let engine = self.new_engine(node, 0);
         self.nodes.push(HollowNode::new(engine, zone));
-        // Started at the same time, all nodes would do their periodic work in step, which real ones do not.
+        // If all nodes started at the same time, their periodic work would coincide, unlike that of real
+        // nodes.
         let at = CLOCK_START + self.random.random_range(0..STARTUP_SPREAD);
         self.queue.schedule(at, WorldEvent::SnapshotReachesNode(NodeProcess { node, incarnation: 0 }));
     }
 
-    /// Adds dead endpoints that only the stale lists of restarted nodes name.
+    /// Adds dead endpoints that occur only in the stale lists of restarted nodes.
     fn add_stale_endpoints(&mut self) {
         let count = (self.scenario.old_list_share * f64::from(self.scenario.servers)).round() as u32;
         for number in 0..count {
@@ -239,22 +251,23 @@
         DecisionEngine::new(seed.wrapping_mul(SEED_MULTIPLIER), settings)
     }
 
+    /// Returns whether this process is the current one of its node and runs.
     fn is_running(&self, process: NodeProcess) -> bool {
         let node = &self.nodes[process.node];
         node.is_up() && node.incarnation == process.incarnation
     }
 
-    /// Whether a node and an endpoint can reach each other.
+    /// Returns whether the network connects a node and an endpoint.
     fn reachable(&self, node: NodeIndex, endpoint: EndpointIndex) -> bool {
         self.network.reachable(self.nodes[node].zone, self.endpoints[endpoint].zone)
     }
 
-    /// The one-way delay between a node and an endpoint, in microseconds.
+    /// Returns the one-way delay between a node and an endpoint, in microseconds.
     fn delay(&self, node: NodeIndex, endpoint: EndpointIndex) -> Micros {
         self.network.delay(self.nodes[node].zone, self.endpoints[endpoint].zone)
     }
 
-    /// Connections that have been idle since before this time are closed.
+    /// Returns the time before which a connection must have become idle to be closed by now.
     fn oldest_idle_since(&self) -> Micros {
         self.queue.now().saturating_sub(self.scenario.idle_close_ms * 1_000)
     }
--- a/crates/scale-bench/src/fleet/world/attempts.rs
+++ b/crates/scale-bench/src/fleet/world/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: how a node sends them to endpoints and how they end at the node.
+//! How nodes send attempts to endpoints, and how attempts end at their nodes.
 
 use edge_node::decision::{EndedAttempt, EndpointId, Event, Micros, Outcome, RequestId};
 
@@ -9,13 +9,18 @@
 use crate::fleet::random::exponential;
 use crate::fleet::request::{request_number, Attempt, FinalResult};
 
-/// As in a real node: attempts end this long before the client's deadline.
+/// An attempt ends at the latest this long before the client's deadline, as in a real node.
 const ATTEMPT_MARGIN: Micros = 25_000;
-/// As in a real node: the shortest time limit for a new connection.
+/// The shortest time limit for establishing a connection, as in a real node.
 const MIN_CONNECT_TIMEOUT: Micros = 60_000;
 
 impl World {
-    /// Starts an attempt. Returns its end if it can't be sent at all.
+    /// Starts an attempt. It times out after `timeout`, or earlier if [`ATTEMPT_MARGIN`] before the client's
+    /// deadline is reached. A `timeout` of 0 means only the latter.
+    ///
+    /// Returns the attempt's end if it can't be sent: the endpoint does not exist, the try has its result or
+    /// no time left, or it has made its most attempts. Returns `None` if the attempt is sent or the try is
+    /// over.
     pub(super) fn start_attempt(
         &mut self,
         node: NodeIndex,
@@ -27,7 +32,7 @@
         let number = request_number(&request);
         let index = self.endpoint_index.get(&endpoint.0).copied();
         let pending = self.pending_tries.get_mut(&number)?;
-        let attempt = AttemptId { request: number, number: pending.attempts.len() as u32 };
+        let attempt = AttemptId { try_number: number, number: pending.attempts.len() as u32 };
         let latest_end = pending.client.deadline.saturating_sub(ATTEMPT_MARGIN);
         let within_limits = attempt.number < self.settings.limits.max_attempts && now < latest_end;
         let Some(index) = index.filter(|_| within_limits && !pending.completed) else {
@@ -54,10 +59,11 @@
         None
     }
 
-    /// Ends an attempt that is in flight at its node, and returns the event for the node's decisions.
+    /// Ends an attempt at its node and returns the event for the node's decision engine. Returns `None` if
+    /// the attempt is not in flight.
     pub(super) fn end_attempt(&mut self, attempt: AttemptId, outcome: Outcome) -> Option<Event> {
         let now = self.queue.now();
-        let pending = self.pending_tries.get_mut(&attempt.request)?;
+        let pending = self.pending_tries.get_mut(&attempt.try_number)?;
         let sent = pending.attempts.get_mut(attempt.number as usize)?;
         if !sent.in_flight {
             return None;
@@ -75,12 +81,12 @@
         };
         self.measurements.attempt_ended(now, outcome);
         if !was_completed && outcome == Outcome::Ok {
-            self.complete_try(attempt.request, FinalResult::Served, 0);
+            self.complete_try(attempt.try_number, FinalResult::Served, 0);
         }
         Some(Event::AttemptEnded(ended))
     }
 
-    /// Charges a try to its account's quota when its first attempt starts.
+    /// Charges a try to the admission bucket of its account, unless an earlier attempt of the try charged it.
     fn charge_admission(&mut self, number: u64) {
         let Some(pending) = self.pending_tries.get_mut(&number) else { return };
         if pending.admission.is_some() {
@@ -96,6 +102,7 @@
         }
     }
 
+    /// Counts an attempt that is sent now, if now is in the measured time.
     fn measure_attempt(&mut self, node: NodeIndex, endpoint: EndpointIndex) {
         if !self.scenario.is_measured(self.queue.now()) {
             return;
@@ -109,14 +116,14 @@
         }
     }
 
-    /// Sends an attempt over an idle connection, or over a new one if there is none.
+    /// Sends an attempt over an idle connection, or over a new connection if none is idle.
     fn transmit(&mut self, attempt: AttemptId, node: NodeIndex, endpoint: EndpointIndex) {
         let oldest = self.oldest_idle_since();
         let target = &self.endpoints[endpoint];
         let idle_connections = &mut self.nodes[node].idle_connections;
         idle_connections.drop_expired(endpoint, oldest);
         if target.state == ProcessState::Dead {
-            // The end of the process has closed its connections.
+            // The connections to the process were closed when it ended.
             idle_connections.drop_other_incarnations(endpoint, target.incarnation);
         }
         match idle_connections.take(endpoint) {
@@ -133,14 +140,14 @@
         incarnation: u32,
     ) {
         if self.is_unresponsive(node, endpoint) {
-            // Nothing comes back; the node's time limit ends the attempt.
+            // No response comes back. The node's time limit ends the attempt.
             return;
         }
         let now = self.queue.now();
         let delay = self.delay(node, endpoint);
         let current = self.endpoints[endpoint].incarnation;
         if incarnation != current {
-            // The endpoint was restarted in between and does not know the connection.
+            // The endpoint has restarted since the connection was established, and its new process resets it.
             self.nodes[node].idle_connections.drop_other_incarnations(endpoint, current);
             self.schedule_failure(now + 2 * delay, attempt, Outcome::Reset);
             return;
@@ -165,16 +172,19 @@
         self.schedule_arrival(now + 3 * delay, attempt, endpoint, work);
     }
 
-    /// A connection may take up to a quarter of the time that is left for the request.
+    /// Returns the time limit for establishing a connection: a quarter of the time left for the request, but
+    /// at least [`MIN_CONNECT_TIMEOUT`] and at most the connect timeout of the settings.
     fn connect_timeout(&self, attempt: AttemptId) -> Micros {
-        let pending = self.pending_tries.get(&attempt.request);
+        let pending = self.pending_tries.get(&attempt.try_number);
         let deadline = pending.map_or(0, |pending| pending.client.deadline);
         let time_left = deadline.saturating_sub(self.queue.now());
         self.settings.limits.connect_timeout.min((time_left / 4).max(MIN_CONNECT_TIMEOUT))
     }
 
+    /// Returns whether an endpoint does not reply to a node: it is unresponsive, or the network does not
+    /// connect them.
     fn is_unresponsive(&self, node: NodeIndex, endpoint: EndpointIndex) -> bool {
-        self.endpoints[endpoint].state == ProcessState::Vanished || !self.reachable(node, endpoint)
+        self.endpoints[endpoint].state == ProcessState::Unresponsive || !self.reachable(node, endpoint)
     }
 
     fn schedule_arrival(&mut self, at: Micros, attempt: AttemptId, endpoint: EndpointIndex, work: f64) {
--- a/crates/scale-bench/src/fleet/world/counter_calls.rs
+++ b/crates/scale-bench/src/fleet/world/counter_calls.rs
@@ -6,11 +6,12 @@
 use super::World;
 use crate::fleet::node::NodeProcess;
 
-/// As in a real node: a connection to the counter service that is silent for this many call time-outs is replaced.
+/// A node replaces a connection to the counter service on which it has received nothing for this many call
+/// timeouts, as a real node does.
 const SILENT_TIMEOUTS: u64 = 3;
 
 impl World {
-    /// A node calls the counter service.
+    /// Sends a call from a node to the counter service.
     pub(super) fn call_counter(
         &mut self,
         process: NodeProcess,
@@ -19,8 +20,8 @@
         keep_for: Micros,
     ) {
         let now = self.queue.now();
-        self.last_counter_call += 1;
-        let call = CounterCallId { process, number: self.last_counter_call };
+        self.last_counter_call_number += 1;
+        let call = CounterCallId { process, number: self.last_counter_call_number };
         self.measurements.counter_called(now);
         self.nodes[process.node].counter_calls.start(call.number, key, now);
         let arrives_at = now + self.scenario.counter_delay_us;
@@ -31,7 +32,7 @@
         self.queue.schedule(silent_at, WorldEvent::CounterConnectionCheck(call));
     }
 
-    /// A call reaches the counter service.
+    /// Handles the arrival of a call at the counter service.
     pub(super) fn counter_call_arrived(
         &mut self,
         call: CounterCallId,
@@ -46,7 +47,8 @@
         self.queue.schedule(at, arrival);
     }
 
-    /// A reply of the counter service reaches its node.
+    /// Handles the arrival of a reply of the counter service at the node. The reply is dropped if the process
+    /// that made the call has ended or has given up the call.
     pub(super) fn counter_reply_arrived(&mut self, call: CounterCallId, outcome: Outcome, total: f64) {
         let now = self.queue.now();
         let node = call.process.node;
@@ -63,7 +65,7 @@
         self.measurements.counter_replied(now, outcome, pending.timed_out);
     }
 
-    /// A node's time limit for a reply is over.
+    /// Reports a call to its node as timed out, if it is still pending.
     pub(super) fn counter_call_timed_out(&mut self, call: CounterCallId) {
         if !self.is_running(call.process) {
             return;
@@ -74,8 +76,8 @@
         self.deliver(node, Event::CounterReplied { key, outcome: Outcome::TimedOut, total: 0.0 });
     }
 
-    /// A node replaces a connection on which nothing has come for some time-outs, and with it gives up the calls
-    /// that were made on it.
+    /// Checks whether the connection of a pending call has been silent for [`SILENT_TIMEOUTS`] call timeouts.
+    /// If so, the node replaces the connection and gives up the call. Otherwise schedules the next check.
     pub(super) fn check_counter_connection(&mut self, call: CounterCallId) {
         if !self.is_running(call.process) {
             return;
--- a/crates/scale-bench/src/fleet/world/discovery.rs
+++ b/crates/scale-bench/src/fleet/world/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: how changes are published, detected and brought to the nodes.
+//! Discovery: how changes of the endpoint list are detected, published and delivered to the nodes.
 
 use edge_node::decision::{EndpointState, EndpointUpdateKind, Event, Micros};
 use rand::Rng;
@@ -10,7 +10,8 @@
 use crate::fleet::random::exponential;
 
 impl World {
-    /// Puts a change on the list. It reaches each node after a delay of the node's own, and after earlier changes.
+    /// Publishes a change of an endpoint. The change reaches each node after a delay that is drawn for the
+    /// node, and not before earlier changes.
     pub(super) fn publish(&mut self, endpoint: EndpointIndex, state: EndpointState) {
         self.list.publish(self.endpoints[endpoint].list_entry(state));
         let now = self.queue.now();
@@ -25,14 +26,14 @@
         }
     }
 
-    /// Schedules when discovery detects that the endpoint's latest process has ended.
+    /// Schedules the detection that the endpoint's latest process has ended.
     pub(super) fn schedule_loss_detection(&mut self, endpoint: EndpointIndex) {
         let process = EndpointProcess { endpoint, incarnation: self.endpoints[endpoint].incarnation };
         let at = self.queue.now() + self.scenario.detect_ms * 1_000;
         self.queue.schedule(at, WorldEvent::EndpointLossDetected(process));
     }
 
-    /// Discovery removes an endpoint that has not started again meanwhile.
+    /// Removes an endpoint from the list whose process has ended, unless the endpoint has started again.
     pub(super) fn endpoint_loss_detected(&mut self, process: EndpointProcess) {
         let endpoint = &self.endpoints[process.endpoint];
         if endpoint.state != ProcessState::Up && endpoint.incarnation == process.incarnation {
@@ -40,7 +41,8 @@
         }
     }
 
-    /// Changes reach a node's discovery agent, and through it the node, if it is up.
+    /// Delivers the list changes up to `revision` to a node's discovery agent, and from it to the node if
+    /// that is up.
     pub(super) fn deliver_delta(&mut self, node: NodeIndex, revision: usize) {
         let target = &mut self.nodes[node];
         let known_revision = target.list_revision;
@@ -51,7 +53,7 @@
         }
     }
 
-    /// The whole list that a process fetched from its discovery agent reaches it.
+    /// Delivers the whole list that a node's process fetched from its discovery agent.
     pub(super) fn deliver_snapshot(&mut self, process: NodeProcess) {
         if self.is_running(process) {
             let entries = self.list.snapshot(self.nodes[process.node].list_revision);
@@ -60,14 +62,14 @@
         }
     }
 
-    /// A node's process starts again with empty state and a stale list, which names endpoints that have ended in
-    /// place of others.
+    /// Starts a new process of a node with empty state and a stale list, in which entries for dead endpoints
+    /// replace some entries of the list that the node's discovery agent has.
     pub(super) fn start_node(&mut self, node: NodeIndex) {
         let engine = self.new_engine(node, self.nodes[node].incarnation);
         self.nodes[node].start(self.queue.now(), engine);
         let mut entries = self.list.snapshot(self.nodes[node].list_revision);
-        let wrong = (entries.len() as f64 * self.scenario.old_list_share).round() as usize;
-        for &stale in self.stale_endpoints.iter().take(wrong) {
+        let stale_count = (entries.len() as f64 * self.scenario.old_list_share).round() as usize;
+        for &stale in self.stale_endpoints.iter().take(stale_count) {
             let replaced = self.random.random_range(0..entries.len());
             entries[replaced] = self.endpoints[stale].list_entry(EndpointState::Active);
         }
--- a/crates/scale-bench/src/fleet/world/failures.rs
+++ b/crates/scale-bench/src/fleet/world/failures.rs
@@ -1,4 +1,4 @@
-//! Carries out what the failure plan says.
+//! Applies the effects of the failure plan to the simulated world.
 
 use edge_node::decision::EndpointState;
 use rand::Rng;
@@ -10,8 +10,8 @@
 use crate::fleet::request::FinalResult;
 
 impl World {
-    /// Carries out a step of the failure.
-    pub(super) fn carry_out(&mut self, step: FailureStep) {
+    /// Carries out a step of the failure by applying its effects.
+    pub(super) fn apply_failure_step(&mut self, step: FailureStep) {
         if matches!(step, FailureStep::Start) {
             self.reset_endpoints_used();
         }
@@ -20,16 +20,16 @@
             endpoint_zones: self.endpoints.iter().map(|endpoint| endpoint.zone).collect(),
         };
         for effect in self.failure_plan.effects(step, &mut self.random, &layout) {
-            self.apply(effect);
+            self.apply_effect(effect);
         }
     }
 
-    fn apply(&mut self, effect: FailureEffect) {
+    fn apply_effect(&mut self, effect: FailureEffect) {
         match effect {
             FailureEffect::StopNode(node) => self.end_node(node, NodeState::Stopped),
-            FailureEffect::VanishNode(node) => self.end_node(node, NodeState::Vanished(self.queue.now())),
+            FailureEffect::HangNode(node) => self.end_node(node, NodeState::Unresponsive(self.queue.now())),
             FailureEffect::BootNode(node) => self.boot_node(node),
-            FailureEffect::VanishEndpoint(endpoint) => self.vanish_endpoint(endpoint),
+            FailureEffect::HangEndpoint(endpoint) => self.hang_endpoint(endpoint),
             FailureEffect::RestartEndpoint(endpoint) => self.restart_endpoint(endpoint),
             FailureEffect::DrainEndpoint(endpoint) => self.publish(endpoint, EndpointState::Draining),
             FailureEffect::ReplaceEndpoint(endpoint) => self.replace_endpoint(endpoint),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Which node uses which endpoint is counted from the start of a failure.
+    /// Clears which endpoints each node has used, so that their use is counted from the start of the failure.
     fn reset_endpoints_used(&mut self) {
         for node in &mut self.nodes {
             node.endpoints_used.clear();
@@ -48,7 +48,7 @@
         }
     }
 
-    /// A node's process ends; the requests that it had accepted are lost.
+    /// Ends the process of a node that is up. The tries that it had accepted and not answered are lost.
     fn end_node(&mut self, node: NodeIndex, state: NodeState) {
         if !self.nodes[node].is_up() {
             return;
@@ -60,13 +60,13 @@
             if pending.completed {
                 self.remove_if_over(number);
             } else if state == NodeState::Stopped {
-                // The client sees its connection break at once.
+                // The end of the process resets the client's connection, so the client knows at once.
                 self.complete_try(number, FinalResult::Lost, 0);
             }
         }
     }
 
-    /// The tries at a node, in the order of their numbers.
+    /// Returns the numbers of the tries that were sent to a node and are not over, in ascending order.
     fn tries_at(&self, node: NodeIndex) -> Vec<u64> {
         let at_node = self.pending_tries.iter().filter(|(_, pending)| pending.node == node);
         let mut numbers: Vec<u64> = at_node.map(|(&number, _)| number).collect();
@@ -74,13 +74,15 @@
         numbers
     }
 
-    /// Schedules the start of a node's process, after half to one and a half times the boot time.
+    /// Schedules the start of a new process of a node. Its delay is drawn from 0.5 to 1.5 times the mean boot
+    /// time.
     fn boot_node(&mut self, node: NodeIndex) {
         let mean = self.scenario.boot_ms * 1_000;
         let boot_time = self.random.random_range(mean / 2..=mean + mean / 2);
         self.queue.schedule(self.queue.now() + boot_time, WorldEvent::NodeStarts(node));
     }
 
+    /// Removes an endpoint from the list, ends its process, and starts a new endpoint in its zone.
     fn replace_endpoint(&mut self, endpoint: EndpointIndex) {
         self.publish(endpoint, EndpointState::Removed);
         self.kill_endpoint(endpoint);
--- a/crates/scale-bench/src/fleet/world/front.rs
+++ b/crates/scale-bench/src/fleet/world/front.rs
@@ -1,4 +1,4 @@
-//! The clients, and the front that spreads each account's requests over its nodes.
+//! Simulates the clients, and the front that spreads the requests of each account over the account's nodes.
 
 use edge_node::decision::{AccountId, Event, Idempotency, Micros, NewRequest};
 use rand::Rng;
@@ -10,12 +10,12 @@
 use crate::fleet::random::{pick_by_share, poisson_gap};
 use crate::fleet::request::{request_id, ClientRequest, FinalResult, PendingTry};
 
-/// As in a real node: what is unanswered this long before the client's deadline has failed.
+/// A node fails a try that is unanswered this long before the client's deadline, as a real node does.
 const RESPONSE_MARGIN: Micros = 15_000;
-/// A client's back-off after a failure, or a rejection without `Retry-After`: doubles with each try, and is drawn
-/// from half of it to all of it.
+/// Base of a client's back-off after a failure or after a rejection without `Retry-After`. The back-off
+/// doubles with each try. The client waits for a time drawn from half of the back-off to all of it.
 const RETRY_BACKOFF: Micros = 100_000;
-/// The back-off does not double more often than this.
+/// Most doublings of the back-off.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
 impl World {
@@ -47,7 +47,9 @@
         self.submit(request);
     }
 
-    /// Makes a try of a request at one of its account's nodes.
+    /// Sends a try of a request to one of its account's nodes. Completes the request as failed if too little
+    /// time is left before its deadline. If the front has no available node, the client retries as after a
+    /// failure.
     pub(super) fn submit(&mut self, mut request: ClientRequest) {
         let now = self.queue.now();
         if now + RESPONSE_MARGIN >= request.deadline {
@@ -60,8 +62,8 @@
             }
             return self.retry_or_complete(request, None, FinalResult::Failed);
         };
-        self.last_try += 1;
-        let number = self.last_try;
+        self.last_try_number += 1;
+        let number = self.last_try_number;
         let id = request_id(number);
         let account = &self.accounts[request.account];
         let received = NewRequest {
@@ -85,7 +87,8 @@
         }
     }
 
-    /// Completes a try for its client, if it is not completed yet; `retry_after` is 0 for no advice.
+    /// Gives a try its result, unless it has one. The client then retries or the request is completed.
+    /// `retry_after` is the time that a rejection advises the client to wait, or 0 if it gives no advice.
     pub(super) fn complete_try(&mut self, number: u64, result: FinalResult, retry_after: Micros) {
         let Some(pending) = self.pending_tries.get_mut(&number) else { return };
         if pending.completed {
@@ -108,7 +111,8 @@
                 let advice = (retry_after > 0).then_some(retry_after);
                 self.retry_or_complete(request, advice, result);
             }
-            // What failed may have run, and a client does not repeat what must not run twice.
+            // A request that failed or was lost may have run, so the client does not retry a non-idempotent
+            // one.
             FinalResult::Failed | FinalResult::Lost if idempotency == Idempotency::NonIdempotent => {
                 self.complete_request(&request, result);
             }
@@ -117,7 +121,8 @@
         self.remove_if_over(number);
     }
 
-    /// A node fails a try that is still unanswered shortly before its client's deadline.
+    /// Fails a try that its node has not answered [`RESPONSE_MARGIN`] before the client's deadline, and tells
+    /// the node's engine that the client no longer waits.
     pub(super) fn response_deadline_passed(&mut self, number: u64) {
         let Some(pending) = self.pending_tries.get(&number) else { return };
         if pending.completed || pending.abandoned {
@@ -129,19 +134,20 @@
         self.deliver(node, Event::ClientDisconnected { request: id });
     }
 
-    /// A client that got no response stops waiting.
+    /// Handles the deadline of a client: a try without a result is lost.
     pub(super) fn client_deadline_passed(&mut self, number: u64) {
         self.complete_try(number, FinalResult::Lost, 0);
     }
 
-    /// Forgets a try of which nothing is to come any more.
+    /// Removes a try if no further event can change it.
     pub(super) fn remove_if_over(&mut self, number: u64) {
         if self.pending_tries.get(&number).is_some_and(PendingTry::is_over) {
             self.pending_tries.remove(&number);
         }
     }
 
-    /// Draws one of the account's nodes, without those that the front knows to be down.
+    /// Draws one of the account's nodes, except those that the front knows to be down. Returns `None` if it
+    /// knows all of them to be down.
     fn choose_node(&mut self, account: usize) -> Option<NodeIndex> {
         let first_node = self.accounts[account].first_node;
         let mut available = Vec::new();
@@ -157,11 +163,12 @@
         Some(available[self.random.random_range(0..available.len())])
     }
 
+    /// Returns whether the front considers a node to be up.
     fn appears_available(&self, node: NodeIndex) -> bool {
         match self.nodes[node].state {
             NodeState::Up => true,
             NodeState::Stopped => false,
-            NodeState::Vanished(since) => self.queue.now() < since + self.scenario.front_notice_ms * 1_000,
+            NodeState::Unresponsive(at) => self.queue.now() < at + self.scenario.front_notice_ms * 1_000,
         }
     }
 
@@ -169,8 +176,9 @@
         self.scenario.spread.min(self.scenario.nodes)
     }
 
-    /// Schedules the client's next try after the advised or its own back-off, or completes the request if its
-    /// tries or its time are used up.
+    /// Schedules the client's next try after the advised wait, or after its own back-off if there is no
+    /// advice. Completes the request with `result` if no tries are left, or if too little time is left for
+    /// another try.
     fn retry_or_complete(&mut self, mut request: ClientRequest, advice: Option<Micros>, result: FinalResult) {
         let now = self.queue.now();
         let backoff = RETRY_BACKOFF << request.tries.min(MAX_BACKOFF_DOUBLINGS);
--- a/crates/scale-bench/src/fleet/world/node_actions.rs
+++ b/crates/scale-bench/src/fleet/world/node_actions.rs
@@ -1,4 +1,4 @@
-//! Hands events to the nodes' decisions and carries out the actions that come back.
+//! Delivers events to the decision engines of the nodes and performs the actions that they return.
 
 use std::collections::VecDeque;
 
@@ -10,14 +10,15 @@
 use crate::fleet::node::{NodeIndex, NodeProcess};
 use crate::fleet::request::{request_number, FinalResult};
 
-/// The discovery agent runs on the node's own machine and answers within this time.
+/// Time that the discovery agent, which runs on the node's machine, takes to reply.
 const AGENT_DELAY: Micros = 1_000;
-/// A probe ends after this time.
+/// Time from the start of a probe to its end.
 const PROBE_DURATION: Micros = 250_000;
 
 impl World {
-    /// Hands an event to a node and carries out its actions. As in a real node, events that actions cause at once
-    /// wait until all actions of the earlier event are carried out.
+    /// Delivers an event to a node's engine and performs the resulting actions. If an action immediately
+    /// causes another event, that event is delivered after all actions of the earlier event are performed, as
+    /// in a real node.
     pub(super) fn deliver(&mut self, node: NodeIndex, event: Event) {
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
@@ -30,14 +31,14 @@
         }
     }
 
-    /// Hands an event to a node if the process that it is meant for still runs.
+    /// Delivers an event to a process of a node, or drops it if the process has ended.
     pub(super) fn deliver_to_process(&mut self, process: NodeProcess, event: Event) {
         if self.is_running(process) {
             self.deliver(process.node, event);
         }
     }
 
-    /// Carries out an action and returns the event that it causes at once, if any.
+    /// Performs an action and returns the event that it immediately causes, if any.
     fn perform(&mut self, node: NodeIndex, action: Action) -> Option<Event> {
         let now = self.queue.now();
         let process = NodeProcess { node, incarnation: self.nodes[node].incarnation };
@@ -64,19 +65,22 @@
             Action::FetchEndpoints => {
                 self.queue.schedule(now + AGENT_DELAY, WorldEvent::SnapshotReachesNode(process));
             }
-            // The list is watched from the start.
+            // Changes of the list are delivered to every node from the start.
             Action::WatchEndpoints => {}
         }
         None
     }
 
+    /// Cancels an attempt and returns its end. Returns `None` if the attempt is not in flight.
     fn cancel_attempt(&mut self, request: &RequestId, attempt_number: u32) -> Option<Event> {
-        let attempt = AttemptId { request: request_number(request), number: attempt_number };
-        let endpoint = self.pending_tries.get(&attempt.request)?.in_flight(attempt)?.endpoint;
+        let attempt = AttemptId { try_number: request_number(request), number: attempt_number };
+        let endpoint = self.pending_tries.get(&attempt.try_number)?.in_flight(attempt)?.endpoint;
         self.endpoints[endpoint].drop_queued(attempt);
         self.end_attempt(attempt, Outcome::Cancelled)
     }
 
+    /// Starts a probe. It succeeds if the endpoint is up and the network connects the node with it; otherwise
+    /// it times out.
     fn probe(&mut self, process: NodeProcess, endpoint: EndpointId) {
         let index = self.endpoint_index.get(&endpoint.0).copied();
         let responds = index.is_some_and(|index| {
@@ -87,15 +91,16 @@
         self.queue.schedule(at, WorldEvent::ProbeCompletes { process, endpoint, outcome });
     }
 
-    /// The end of an attempt, from its endpoint or its node, reaches the node.
+    /// Handles the end of an attempt at its node. The end is ignored if the attempt is not in flight.
     pub(super) fn attempt_ended(&mut self, attempt: AttemptId, outcome: Outcome, origin: EndOrigin) {
-        let Some(pending) = self.pending_tries.get(&attempt.request) else { return };
+        let Some(pending) = self.pending_tries.get(&attempt.try_number) else { return };
         let Some(in_flight) = pending.in_flight(attempt) else { return };
         let node = pending.node;
         let endpoint = in_flight.endpoint;
         let incarnation = in_flight.incarnation;
         let from_endpoint = origin == EndOrigin::Endpoint;
-        // A response does not reach a node whose process ended, nor pass between regions that are cut off.
+        // No event reaches a process that has ended, and no response or reset crosses the border of an
+        // isolated region.
         if pending.abandoned || from_endpoint && !self.reachable(node, endpoint) {
             return;
         }
@@ -108,11 +113,11 @@
         }
         if let Some(event) = self.end_attempt(attempt, outcome) {
             self.deliver(node, event);
-            self.remove_if_over(attempt.request);
+            self.remove_if_over(attempt.try_number);
         }
     }
 
-    /// A node's time limit for an attempt is over.
+    /// Ends an attempt whose time limit is reached, if it is still in flight.
     pub(super) fn attempt_timed_out(&mut self, attempt: AttemptId) {
         self.attempt_ended(attempt, Outcome::TimedOut, EndOrigin::Node);
     }
--- a/crates/scale-bench/src/fleet/world/setup.rs
+++ b/crates/scale-bench/src/fleet/world/setup.rs
@@ -1,4 +1,4 @@
-//! What the world is built from: the nodes' settings, the endpoints and the model that these share.
+//! Derives the nodes' settings, the endpoints and the endpoints' shared model from the scenario.
 
 use edge_node::decision::{CounterSettings, EndpointId, Limits, Plan, Settings, WarmUp};
 use rand::rngs::StdRng;
@@ -8,7 +8,7 @@
 use crate::fleet::endpoint::{EndpointModel, ModelEndpoint};
 use crate::fleet::scenario::Scenario;
 
-/// What the accounts have in common.
+/// Returns the parameters from which the accounts are drawn.
 pub fn account_mix(scenario: &Scenario) -> AccountMix {
     AccountMix {
         count: scenario.account_count(),
@@ -18,7 +18,7 @@
     }
 }
 
-/// The settings of all nodes, without what is each node's own.
+/// Returns the settings that all nodes share. `node_index` and `zone` are set for each node later.
 pub fn shared_settings(scenario: &Scenario, plans: Vec<Plan>) -> Settings {
     Settings {
         node_count: scenario.nodes,
@@ -42,7 +42,7 @@
     }
 }
 
-/// What all endpoints have in common.
+/// Returns the parameters that all endpoints share.
 pub fn endpoint_model(scenario: &Scenario) -> EndpointModel {
     EndpointModel {
         cores: scenario.cores,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Draws the endpoints that are up from the start. Each zone has as large a share of them as of the nodes.
+/// Draws the endpoints that are up from the start. They are spread over the zones in proportion to the nodes.
 pub fn draw_endpoints(scenario: &Scenario, random: &mut StdRng) -> Vec<ModelEndpoint> {
     let endpoints_per_node = f64::from(scenario.servers) / f64::from(scenario.nodes);
     let mut endpoints = Vec::with_capacity(scenario.servers as usize);
--- a/crates/scale-bench/src/fleet/world/upstream.rs
+++ b/crates/scale-bench/src/fleet/world/upstream.rs
@@ -1,4 +1,4 @@
-//! What happens at the endpoints: requests arrive and are done, processes end and start.
+//! Simulates what happens at endpoints: requests arrive and are completed, and processes end and start.
 
 use edge_node::decision::{EndpointId, EndpointState, Outcome};
 use rand::Rng;
@@ -9,14 +9,15 @@
 use crate::fleet::node::EndpointIndex;
 
 impl World {
-    /// An attempt reaches its endpoint.
+    /// Handles the arrival of an attempt at its endpoint. An unresponsive or unreachable endpoint ignores it.
+    /// A process other than the one that it was sent to resets its connection.
     pub(super) fn attempt_arrived(&mut self, process: EndpointProcess, attempt: AttemptId, work: f64) {
         let now = self.queue.now();
         let index = process.endpoint;
-        let Some(pending) = self.pending_tries.get(&attempt.request) else { return };
+        let Some(pending) = self.pending_tries.get(&attempt.try_number) else { return };
         let node = pending.node;
         let state = self.endpoints[index].state;
-        if !self.reachable(node, index) || state == ProcessState::Vanished {
+        if !self.reachable(node, index) || state == ProcessState::Unresponsive {
             return;
         }
         let endpoint = &mut self.endpoints[index];
@@ -26,7 +27,7 @@
         if self.scenario.is_measured(now) {
             endpoint.received += 1;
         }
-        let sender_notified = self.nodes[node].list_revision > endpoint.announced_after;
+        let sender_notified = self.nodes[node].list_revision > endpoint.revision_before_start;
         let request = IncomingRequest { attempt, work, sender_notified };
         match endpoint.accept(&self.endpoint_model, now, request) {
             Arrival::Accepted => self.schedule_wake_up(index),
@@ -40,7 +41,8 @@
         }
     }
 
-    /// An endpoint responds to the requests that it has finished.
+    /// Handles a wake-up of an endpoint, which responds to the requests that are done. Only the latest
+    /// scheduled wake-up has an effect.
     pub(super) fn endpoint_woke_up(&mut self, index: EndpointIndex, wake_up_number: u64) {
         let endpoint = &mut self.endpoints[index];
         if endpoint.wake_up_number != wake_up_number {
@@ -52,30 +54,31 @@
         self.schedule_wake_up(index);
     }
 
-    /// An endpoint becomes unresponsive. What it held is never answered: the nodes' time limits end it.
-    pub(super) fn vanish_endpoint(&mut self, index: EndpointIndex) {
-        self.endpoints[index].end(ProcessState::Vanished);
+    /// Makes an endpoint unresponsive. The requests that it held are never answered, so the nodes' time
+    /// limits end their attempts.
+    pub(super) fn hang_endpoint(&mut self, index: EndpointIndex) {
+        self.endpoints[index].end(ProcessState::Unresponsive);
         self.schedule_loss_detection(index);
     }
 
-    /// An endpoint's process ends, and the connections of what it held are reset.
+    /// Ends the process of an endpoint, which resets the connections of the requests that it held.
     pub(super) fn kill_endpoint(&mut self, index: EndpointIndex) {
         for attempt in self.endpoints[index].end(ProcessState::Dead) {
             self.respond(index, attempt, Outcome::Reset);
         }
     }
 
-    /// A vanished endpoint starts again under its old id and has to warm up.
+    /// Starts an unresponsive endpoint again under its old id. It has to warm up.
     pub(super) fn restart_endpoint(&mut self, index: EndpointIndex) {
         let endpoint = &mut self.endpoints[index];
-        if endpoint.state == ProcessState::Vanished {
+        if endpoint.state == ProcessState::Unresponsive {
             endpoint.start(self.queue.now(), self.list.revision());
             self.cold_starts += 1;
             self.publish(index, EndpointState::Active);
         }
     }
 
-    /// A new endpoint starts and has to warm up.
+    /// Starts a new endpoint in a zone. It has to warm up.
     pub(super) fn start_new_endpoint(&mut self, zone: u32) {
         let id = EndpointId(self.random.random());
         let endpoint = ModelEndpoint::new(id, zone, self.queue.now(), self.list.revision());
@@ -84,6 +87,8 @@
         self.publish(index, EndpointState::Active);
     }
 
+    /// Schedules the next wake-up of an endpoint, if it runs any request. Earlier wake-ups no longer have an
+    /// effect.
     fn schedule_wake_up(&mut self, index: EndpointIndex) {
         let endpoint = &mut self.endpoints[index];
         if let Some(at) = endpoint.plan_wake_up(&self.endpoint_model, self.queue.now()) {
@@ -92,9 +97,9 @@
         }
     }
 
-    /// An endpoint's response, or the reset of a connection to it, sets out for its node.
+    /// Sends an endpoint's response, or the reset of a connection to it, to the node of the attempt.
     fn respond(&mut self, index: EndpointIndex, attempt: AttemptId, outcome: Outcome) {
-        let Some(pending) = self.pending_tries.get(&attempt.request) else { return };
+        let Some(pending) = self.pending_tries.get(&attempt.try_number) else { return };
         let at = self.queue.now() + self.delay(pending.node, index);
         let origin = EndOrigin::Endpoint;
         self.queue.schedule(at, WorldEvent::AttemptEnds { attempt, outcome, origin });
