--- a/crates/scale-bench/src/node.rs
+++ b/crates/scale-bench/src/node.rs
@@ -1,4 +1,5 @@
-//! One real edge node process before fakes of all its peers.
+//! Measures one real edge node process under load, with fakes of all its peers: the clients, the endpoints,
+//! the discovery agent and the counter service.
 
 pub(crate) mod configuration;
 mod figures;
@@ -26,45 +27,49 @@
 use peers::{Peers, StartedPeers};
 use process::{StartedProcess, StartingNode};
 
-/// Threads that serve clients and endpoints.
+/// Number of threads that run the clients and the fake endpoints.
 const DATA_THREADS: usize = 2;
-/// Threads that serve the discovery agent and the counter service. They are threads of their own because a snapshot
-/// of the list takes some tens of milliseconds, and would hold up a response that is measured.
+/// Number of threads that run the fake discovery agent and the fake counter service. These threads are
+/// separate because writing a snapshot of the endpoint list takes some tens of milliseconds, which would
+/// delay responses whose latency is measured.
 const CONTROL_THREADS: usize = 1;
 
-/// Makes the run and prints its figures.
+/// Runs the measurement and prints its figures.
 ///
 /// # Errors
-/// If the arguments make no sense together, the edge node fails, or the figures can't be written.
+/// Returns an error if the arguments contradict each other, the machine refuses a resource, the edge node
+/// fails, the run is interrupted, or the figures can't be written.
 pub fn run(options: Options) -> Result<(), BenchError> {
     measure(&options)?.print(&options.output)
 }
 
-/// Makes the run and returns its figures. The fakes and the edge node's process end with it.
+/// Runs the measurement and returns its figures. When this returns, the edge node's process has been killed
+/// and the fakes are being shut down.
 ///
 /// # Errors
-/// If the arguments make no sense together or the edge node fails.
+/// Returns an error if the arguments contradict each other, the machine refuses a resource, the edge node
+/// fails, or the run is interrupted.
 pub fn measure(options: &Options) -> Result<Report, BenchError> {
     options.check()?;
     limits::allow_descriptors(options.descriptors())?;
     let data = limits::new_runtime(DATA_THREADS)?;
     let control = limits::new_runtime(CONTROL_THREADS)?;
-    let result = data.block_on(measure_in(options, &control));
+    let result = data.block_on(measure_async(options, &control));
     data.shutdown_background();
     control.shutdown_background();
     result
 }
 
-async fn measure_in(options: &Options, control: &Runtime) -> Result<Report, BenchError> {
+async fn measure_async(options: &Options, control: &Runtime) -> Result<Report, BenchError> {
     let schedule = RequestSchedule::draw(options);
     let work = peers::work_model(options);
     let request_count = schedule.requests().len() as u32;
     let started = Peers::start(options, control, work, request_count).await?;
     let StartedPeers { peers, initial_list } = started;
-    let snapshot = peers
-        .agent
-        .snapshot_text()
-        .map_err(|error| BenchError::System { what: "cannot write the list", source: error.into() })?;
+    let snapshot = peers.agent.snapshot_text().map_err(|error| BenchError::System {
+        what: "cannot serialize the endpoint list",
+        source: error.into(),
+    })?;
     let configuration = configuration::write(options, peers.addresses(), initial_list)?;
     peers.start_list_changes(options, control);
     let interruption = limits::interruption()?;
@@ -74,23 +79,24 @@
     let run = Run { options, control, peers, schedule, work, list_bytes: snapshot.len() };
     let result = tokio::select! {
         result = timeout(time_limit, run.measure(starting)) => result.unwrap_or_else(|_| {
-            Err(BenchError::EdgeNode(format!("the run has taken over {time_limit:?}")))
+            Err(BenchError::EdgeNode(format!("the run exceeded its time limit of {time_limit:?}")))
         }),
         error = process.ended() => Err(error),
         error = interruption => Err(error),
     };
-    // However the run ended, the process has ended before this returns.
+    // The process is killed however the run ended, so that none is left behind.
     process.kill().await;
     result
 }
 
-/// All that a run needs once the edge node's process is started.
+/// What a run needs once the edge node's process is started.
 struct Run<'a> {
     options: &'a Options,
     control: &'a Runtime,
     peers: Peers,
     schedule: RequestSchedule,
     work: WorkModel,
+    /// Size of a snapshot of the agent's endpoint list at the start of the run, in bytes.
     list_bytes: usize,
 }
 
--- a/crates/scale-bench/src/node/configuration.rs
+++ b/crates/scale-bench/src/node/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration file of the edge node.
+//! Writes the configuration file of the edge node.
 
 use std::io::{BufWriter, Write};
 use std::net::SocketAddr;
@@ -12,32 +12,36 @@
 use crate::fakes::endpoint_list::{machine_kinds, zone_names, ListMessage};
 use crate::fakes::hash::mix;
 
-/// The name of the plan without a quota.
+/// Name of the plan without a quota.
 pub const UNLIMITED_PLAN: &str = "free";
-/// The name of the plan with a quota.
+/// Name of the plan with a quota.
 pub const QUOTA_PLAN: &str = "paid";
 
-/// A class of request.
+/// A request class and how its requests look.
 pub struct RequestClass {
-    /// Its name.
+    /// Name of the class, which is also the path of its requests (without the leading slash).
     pub name: &'static str,
+    /// Value of the setting `effect`: `safe`, `keyed` or `unsafe`.
     idempotency: &'static str,
-    /// Whether it has a body, and so is a `POST`.
+    /// Whether its requests have a body. Requests with a body use `POST`, the others `GET`.
     pub has_body: bool,
-    /// Whether it has an idempotency key.
+    /// Whether its requests carry an idempotency key.
     pub has_key: bool,
-    /// A number drawn from 0 to 1 selects the first class whose value here is larger.
+    /// Cumulative share of requests, from 0 to 1, of this class and the classes before it in [`CLASSES`]. A
+    /// number drawn uniformly from 0 to 1 selects the first class whose value is larger.
     pub cumulative_share: f64,
 }
 
 impl RequestClass {
-    /// Whether a request may run twice, or its repeats are dropped.
+    /// Returns whether the request can be repeated safely: it may run twice, or repetitions are dropped by
+    /// their idempotency key.
     pub fn is_idempotent(&self) -> bool {
         self.idempotency != "unsafe"
     }
 }
 
-/// The classes: most requests are safe to repeat, some are keyed, few must never run twice.
+/// The request classes: most requests are safe to repeat, some carry an idempotency key, and few must never
+/// run twice.
 pub const CLASSES: [RequestClass; 3] = [
     RequestClass {
         name: "lookup",
@@ -62,16 +66,16 @@
     },
 ];
 
-/// Where the node finds its peers.
+/// Addresses at which the node reaches its peers.
 #[derive(Debug, Clone, Copy)]
 pub struct PeerAddresses {
-    /// The discovery agent.
+    /// Address of the discovery agent.
     pub agent: SocketAddr,
-    /// The counter service.
+    /// Address of the counter service.
     pub counter: SocketAddr,
 }
 
-/// A node's configuration in the form of its deployment.
+/// The configuration, in the file format that a deployed node reads.
 #[derive(Serialize)]
 struct Configuration {
     name: String,
@@ -85,10 +89,11 @@
     settings: Value,
 }
 
-/// Writes the configuration of the node that the arguments describe to a file, which is removed when dropped.
+/// Writes the configuration that the options describe to a temporary file, and returns the file. The file is
+/// removed when the returned value is dropped.
 ///
 /// # Errors
-/// If it can't be written.
+/// Returns an error if the file can't be created or written.
 pub fn write(
     options: &Options,
     peers: PeerAddresses,
@@ -113,7 +118,8 @@
     Ok(file)
 }
 
-/// The settings, with the names of the simulator's first message; times are in microseconds.
+/// Returns the value of the key `settings`. Its keys are those of the first message that the simulator sends;
+/// times are in microseconds.
 fn settings(options: &Options) -> Value {
     let connection_idle_us = (options.conn_idle_s * 1e6) as u64;
     json!({
@@ -136,6 +142,7 @@
 
 fn class_settings(class: &RequestClass, options: &Options) -> Value {
     let deadline_us = options.deadline_ms * 1000;
-    json!({"name": class.name, "effect": class.idempotency, "group": "all", "window": 15_000_000, "credit": 1.0,
-           "late_worth": 0.5, "stream": false, "on_time": (deadline_us / 2).max(1), "deadline": deadline_us})
+    json!({"name": class.name, "effect": class.idempotency, "group": "all", "window": 15_000_000,
+           "credit": 1.0, "late_worth": 0.5, "stream": false, "on_time": (deadline_us / 2).max(1),
+           "deadline": deadline_us})
 }
--- a/crates/scale-bench/src/node/figures.rs
+++ b/crates/scale-bench/src/node/figures.rs
@@ -1,4 +1,4 @@
-//! Writes what a run measured as the figures of its report.
+//! Converts the measurements of a run to the figures of its report.
 
 use hdrhistogram::Histogram;
 
@@ -7,18 +7,19 @@
 use super::phases::{Measured, Reading};
 use crate::report::Report;
 
-/// A report without figures, with the notes that have to be known to read them.
+/// Returns a report without figures that holds the options and the notes that explain the figures.
 pub fn new_report(options: &Options) -> Report {
     let arguments = serde_json::to_value(options).unwrap_or_default();
     let mut report = Report::new("node", arguments);
     let notes = [
-        "latency added: from when a request was due to its answer, less its app server's own time; of all that \
-         were served, however late, and of the lost, which count with the time they were waited for",
-        "added_from_sent: the same without what the clients were late by (bench_late), which on a busy machine is \
-         scale-bench's own; no client waits for another's answer, so it is free of coordinated omission, too",
+        "latency added: from when a request was due to its answer, less its app server's own time; of all \
+         that were served, however late, and of the lost, which count with the time they were waited for",
+        "added_from_sent: the same without what the clients were late by (bench_late), which on a busy \
+         machine is scale-bench's own; no client waits for another's answer, so it is free of coordinated \
+         omission, too",
         "lost: no answer by a second after the deadline; late: an answer between the deadline and then",
-        "cpu_wait_loaded_percent: the node could have run and had no processor; where it or bench_late_p99_ms is not \
-         small, the machine was too busy for latencies to say anything",
+        "cpu_wait_loaded_percent: the node could have run and had no processor; where it or \
+         bench_late_p99_ms is not small, the machine was too busy for latencies to say anything",
         "bytes are those that TCP carries, without its headers, in and out as the peer sees them",
         "handshakes, probes and servers used are of the whole run; calls, attempts and outcomes of the load",
     ];
@@ -26,7 +27,7 @@
     report
 }
 
-/// Adds the figures of the idle time and the load.
+/// Adds all figures of the idle phase and the load phase to the report.
 pub fn add_figures(measured: &Measured, report: &mut Report) {
     add_node_usage(measured, report);
     add_traffic(report, "idle", &measured.before_idle, &measured.after_idle);
@@ -36,10 +37,10 @@
     let deltas = messages.after.deltas - messages.before.deltas;
     report.add("whole_lists_loaded", snapshots as f64, "");
     report.add("change_lists_loaded", deltas as f64, "");
-    add_results(&measured.results, report);
+    add_outcome_counts(&measured.results, report);
     add_latency(&measured.results, report);
-    add_peers(measured, report);
-    add_own_cost(measured, report);
+    add_peer_counts(measured, report);
+    add_bench_overhead(measured, report);
 }
 
 fn add_node_usage(measured: &Measured, report: &mut Report) {
@@ -56,7 +57,8 @@
     report.add("peak_mb", megabytes(measured.usage_at_end.memory.peak), "MB");
 }
 
-/// The control traffic between two readings, by peer and direction as that peer sees it.
+/// Adds the control traffic between two readings, in bytes per second. `in` and `out` are the directions as
+/// seen by the peer (discovery agent or counter service).
 fn add_traffic(report: &mut Report, phase: &str, from: &Reading, to: &Reading) {
     let seconds = to.read_at.duration_since(from.read_at).as_secs_f64().max(1e-9);
     let rate = |from: u64, to: u64| (to - from) as f64 / seconds;
@@ -73,7 +75,7 @@
     report.add(&format!("control_bytes_per_s_{phase}"), total, "bytes/s");
 }
 
-fn add_results(results: &LoadResults, report: &mut Report) {
+fn add_outcome_counts(results: &LoadResults, report: &mut Report) {
     let counts = [
         ("requests", results.sent),
         ("answered_200", results.ok),
@@ -107,7 +109,7 @@
     }
 }
 
-fn add_peers(measured: &Measured, report: &mut Report) {
+fn add_peer_counts(measured: &Measured, report: &mut Report) {
     let sent = (measured.results.sent as f64).max(1.0);
     let before = measured.counter_calls.before;
     let after = measured.counter_calls.after;
@@ -123,10 +125,10 @@
     report.add("log_lines", measured.log_lines as f64, "");
 }
 
-fn add_own_cost(measured: &Measured, report: &mut Report) {
-    let sent_late = &measured.results.sent_late;
-    report.add("bench_late_p99_ms", quantile_ms(sent_late, 0.99), "ms");
-    report.add("bench_late_max_ms", milliseconds(sent_late.max()), "ms");
+fn add_bench_overhead(measured: &Measured, report: &mut Report) {
+    let send_delay = &measured.results.send_delay;
+    report.add("bench_late_p99_ms", quantile_ms(send_delay, 0.99), "ms");
+    report.add("bench_late_max_ms", milliseconds(send_delay.max()), "ms");
     let own_usage = &measured.own_usage;
     let percent = own_usage.after.cpu_percent_since(&own_usage.before);
     report.add("bench_cpu_percent", percent, "% of a core");
--- a/crates/scale-bench/src/node/limits.rs
+++ b/crates/scale-bench/src/node/limits.rs
@@ -1,4 +1,4 @@
-//! What this process needs of the machine: descriptors, threads and signals.
+//! Requests what this process needs from the operating system: file descriptors, threads and signal handlers.
 
 use std::future::Future;
 use std::time::Duration;
@@ -9,47 +9,50 @@
 
 use crate::error::BenchError;
 
-/// How long past the deadline a response is still waited for, so that a late one can be told from one that never comes.
+/// How long after the deadline clients still wait for a response, so that a late response can be told from a
+/// lost one.
 pub const MAX_LATENESS: Duration = Duration::from_secs(1);
 
-/// Lets this process hold so many descriptors.
+/// Raises this process's limit of file descriptors to `needed`, if it is lower.
 ///
 /// # Errors
-/// If the machine does not permit it.
+/// Returns an error if `needed` is above the hard limit, or if the limit can't be raised.
 pub fn allow_descriptors(needed: u64) -> Result<(), BenchError> {
     let limit = getrlimit(Resource::Nofile);
     if limit.current.is_none_or(|current| current >= needed) {
         return Ok(());
     }
     if limit.maximum.is_some_and(|maximum| maximum < needed) {
-        let reason =
-            format!("--rate and --deadline-ms may take {needed} descriptors, more than this machine permits");
+        let reason = format!(
+            "--rate and --deadline-ms may need {needed} file descriptors, more than the \
+                     hard limit of this process"
+        );
         return Err(BenchError::Argument(reason));
     }
     let raised = setrlimit(Resource::Nofile, Rlimit { current: Some(needed), ..limit });
     raised.map_err(|error| BenchError::System {
-        what: "cannot raise the limit of descriptors",
+        what: "cannot raise the limit of file descriptors",
         source: error.into(),
     })
 }
 
-/// Starts a runtime with threads of its own.
+/// Starts a runtime with `threads` worker threads.
 ///
 /// # Errors
-/// If the machine has no thread left.
+/// Returns an error if the threads can't be started.
 pub fn new_runtime(threads: usize) -> Result<Runtime, BenchError> {
     let built = Builder::new_multi_thread().worker_threads(threads).enable_all().build();
     built.map_err(|source| BenchError::System { what: "cannot start threads", source })
 }
 
-/// Listens for signals that end this program, and returns a future that waits for one. Without it a signal would end
-/// this program at once and leave the edge node's process behind.
+/// Installs handlers for SIGINT and SIGTERM, and returns a future that completes when one of them arrives.
+/// Without the handlers a signal would end this process at once and leave the edge node's process running.
 ///
 /// # Errors
-/// If signals can't be listened for.
+/// Returns an error if the handlers can't be installed.
 pub fn interruption() -> Result<impl Future<Output = BenchError>, BenchError> {
-    let mut interrupt = listen(SignalKind::interrupt())?;
-    let mut terminate = listen(SignalKind::terminate())?;
+    let mut interrupt = install_handler(SignalKind::interrupt())?;
+    let mut terminate = install_handler(SignalKind::terminate())?;
     Ok(async move {
         tokio::select! {
             _ = interrupt.recv() => {}
@@ -59,6 +62,6 @@
     })
 }
 
-fn listen(kind: SignalKind) -> Result<Signal, BenchError> {
-    signal(kind).map_err(|source| BenchError::System { what: "cannot listen for signals", source })
+fn install_handler(kind: SignalKind) -> Result<Signal, BenchError> {
+    signal(kind).map_err(|source| BenchError::System { what: "cannot install signal handlers", source })
 }
--- a/crates/scale-bench/src/node/load.rs
+++ b/crates/scale-bench/src/node/load.rs
@@ -1,4 +1,4 @@
-//! The load on the edge node: when which request is sent, the clients that send it, and what became of it.
+//! The load on the edge node: the schedule of requests, the clients that send them, and their results.
 
 mod clients;
 mod results;
@@ -17,10 +17,11 @@
 use crate::error::BenchError;
 use crate::fakes::endpoints::{Endpoints, WorkModel};
 
-/// Sends the scheduled requests, each when it is due, and waits for the end of the last one.
+/// Sends each scheduled request when it is due, waits until all of them have ended, and returns their
+/// results.
 ///
 /// # Errors
-/// If no thread can be started.
+/// Returns an error if the pacing thread can't be started or memory for the histograms is lacking.
 pub async fn send(
     schedule: RequestSchedule,
     edge_address: SocketAddr,
@@ -32,8 +33,9 @@
     let (due_requests, mut next) = mpsc::unbounded_channel();
     let (completed, mut results) = mpsc::unbounded_channel();
     let start = Instant::now();
-    // The runtime's timers are late by up to a millisecond, as much as what is measured; a thread's sleep is not.
-    // The thread ends with the schedule, or when nobody receives any more.
+    // A thread paces the requests because the runtime's timers fire up to a millisecond late, which is as
+    // long as the latencies to be measured; a thread's sleep is more exact. The thread ends after the last
+    // scheduled request, or once the receiver is dropped.
     let pacer = std::thread::Builder::new().name("pacer".into()).spawn(move || {
         for request in schedule.into_requests() {
             std::thread::sleep((start + request.due).saturating_duration_since(Instant::now()));
@@ -48,7 +50,7 @@
             let clients = clients.clone();
             let completed = completed.clone();
             tokio::spawn(async move {
-                // The run may have ended meanwhile.
+                // Sending fails if the run has ended in the meantime, and then the result is not needed.
                 let _ = completed.send(clients.send(request, start).await);
             });
         }
--- a/crates/scale-bench/src/node/load/clients.rs
+++ b/crates/scale-bench/src/node/load/clients.rs
@@ -21,41 +21,46 @@
 use crate::node::limits::MAX_LATENESS;
 use crate::node::options::Options;
 
-/// A response counts as in time up to this long after the deadline.
+/// A response that arrives up to this long after the deadline still counts as in time.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(50);
-/// The longest body of a response, in bytes.
+/// Maximum length of a response body, in bytes.
 const MAX_BODY_LENGTH: usize = 64 * 1024;
 
+/// The client side of an open connection.
 type Sender = SendRequest<Full<Bytes>>;
 
-/// A complete response.
+/// A response that was received completely.
 struct ReceivedResponse {
     status: u16,
     body: Bytes,
 }
 
-/// What one exchange took besides the response.
+/// Retries and new connections that sending one request took.
 #[derive(Default)]
 struct ExchangeCounts {
+    /// Whether the request was sent a second time, on a new connection.
     resent: bool,
     connections_opened: u32,
 }
 
-/// What all clients share.
+/// The clients, which share a pool of connections to the edge node.
 pub struct Clients {
     edge_address: SocketAddr,
     deadline: Duration,
     node_count: u32,
+    /// Index of the measured node, from 0.
     node_index: u32,
+    /// Number of nodes that receive an account's requests.
     nodes_per_account: u32,
     seed: u64,
     request_body: Bytes,
     work: WorkModel,
+    /// Open connections without a request. The most recently used one is last.
     idle_connections: Mutex<Vec<Sender>>,
 }
 
 impl Clients {
-    /// Creates clients without connections.
+    /// Creates clients that hold no connections yet.
     pub fn new(edge_address: SocketAddr, options: &Options, work: WorkModel) -> Self {
         Clients {
             edge_address,
@@ -70,7 +75,8 @@
         }
     }
 
-    /// Sends a request now and waits for its response.
+    /// Sends a request now and returns how it ended. Waits for the response until [`MAX_LATENESS`] after the
+    /// deadline, and then counts the request as lost.
     pub async fn send(&self, request: ScheduledRequest, load_start: Instant) -> RequestResult {
         let due_at = load_start + request.due;
         let sent_at = Instant::now();
@@ -83,19 +89,19 @@
             Err(_) => RequestEnd::Lost,
             Ok(None) => RequestEnd::ConnectionError,
             Ok(Some(_)) if !in_time => RequestEnd::Late,
-            Ok(Some(response)) => self.end_of(&request, &response),
+            Ok(Some(response)) => self.classify_response(&request, &response),
         };
         RequestResult {
             number: request.number,
             end,
-            sent_late: sent_at - due_at,
+            send_delay: sent_at - due_at,
             elapsed: ended_at - due_at,
             resent: counts.resent,
             connections_opened: counts.connections_opened,
         }
     }
 
-    fn end_of(&self, request: &ScheduledRequest, response: &ReceivedResponse) -> RequestEnd {
+    fn classify_response(&self, request: &ScheduledRequest, response: &ReceivedResponse) -> RequestEnd {
         if response.status == 200 && response.body != self.work.response_body(request.number) {
             RequestEnd::WrongBody
         } else {
@@ -103,7 +109,8 @@
         }
     }
 
-    /// Sends a request and reads the response, if there is one.
+    /// Sends a request and returns its response. Returns `None` if connecting or reading the response fails,
+    /// or if a new connection ends without a response.
     async fn exchange(
         &self,
         request: &ScheduledRequest,
@@ -111,29 +118,33 @@
     ) -> Option<ReceivedResponse> {
         if let Some(sender) = self.take_idle() {
             match self.send_over(sender, request).await? {
-                Attempt::Responded(response) => return self.finish(response).await,
-                // The connection was closed while the request was on its way: it is sent once more, on a new one.
-                Attempt::NoResponse => counts.resent = true,
+                SendOutcome::Responded(response) => return self.read_response(response).await,
+                // The idle connection was closed before a response came, so the request is sent again on a
+                // new one.
+                SendOutcome::NoResponse => counts.resent = true,
             }
         }
         counts.connections_opened += 1;
         let sender = self.connect().await?;
         match self.send_over(sender, request).await? {
-            Attempt::Responded(response) => self.finish(response).await,
-            Attempt::NoResponse => None,
+            SendOutcome::Responded(response) => self.read_response(response).await,
+            SendOutcome::NoResponse => None,
         }
     }
 
-    async fn send_over(&self, mut sender: Sender, request: &ScheduledRequest) -> Option<Attempt> {
-        let message = self.message(request)?;
-        match sender.send_request(message).await {
-            Ok(response) => Some(Attempt::Responded(ResponseHead { response, sender })),
-            Err(_) => Some(Attempt::NoResponse),
+    /// Sends a request over an open connection and waits for the head of its response. Returns `None` if the
+    /// request can't be built.
+    async fn send_over(&self, mut sender: Sender, request: &ScheduledRequest) -> Option<SendOutcome> {
+        let request_message = self.build_message(request)?;
+        match sender.send_request(request_message).await {
+            Ok(response) => Some(SendOutcome::Responded(ResponseHead { response, sender })),
+            Err(_) => Some(SendOutcome::NoResponse),
         }
     }
 
-    /// Reads the body, and keeps the connection if it can be used again.
-    async fn finish(&self, head: ResponseHead) -> Option<ReceivedResponse> {
+    /// Reads the body of a response, and returns the connection to the pool if it can be used again. Returns
+    /// `None` if the body is longer than [`MAX_BODY_LENGTH`] or can't be read.
+    async fn read_response(&self, head: ResponseHead) -> Option<ReceivedResponse> {
         let ResponseHead { response, mut sender } = head;
         let status = response.status().as_u16();
         let body = Limited::new(response.into_body(), MAX_BODY_LENGTH).collect().await.ok()?;
@@ -143,7 +154,8 @@
         Some(ReceivedResponse { status, body: body.to_bytes() })
     }
 
-    /// Takes the connection that was used last, of those that are still open.
+    /// Takes the most recently used connection that is still open out of the pool. Returns `None` if there is
+    /// no open one.
     fn take_idle(&self) -> Option<Sender> {
         let mut idle = self.idle_connections.lock().unwrap_or_else(PoisonError::into_inner);
         while let Some(sender) = idle.pop() {
@@ -156,21 +168,21 @@
 
     async fn connect(&self) -> Option<Sender> {
         let stream = TcpStream::connect(self.edge_address).await.ok()?;
-        // Where it can't be set requests are late, not wrong.
+        // If this option can't be set, requests may be delayed, but none goes wrong.
         let _ = stream.set_nodelay(true);
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-        // It ends with its sender.
+        // The task ends once its sender is dropped.
         tokio::spawn(connection);
         Some(sender)
     }
 
-    fn message(&self, request: &ScheduledRequest) -> Option<Request<Full<Bytes>>> {
+    fn build_message(&self, request: &ScheduledRequest) -> Option<Request<Full<Bytes>>> {
         let class = &CLASSES[request.class];
         let account = request.account;
         let plan = if request.has_quota { QUOTA_PLAN } else { UNLIMITED_PLAN };
         let spread = self.nodes_per_account;
         let first_node = self.first_node(account);
-        let mut message = Request::builder()
+        let mut request_message = Request::builder()
             .method(if class.has_body { Method::POST } else { Method::GET })
             .uri(format!("/{}?key={account:016x}", class.name))
             .header("Host", "service.internal")
@@ -180,27 +192,30 @@
             .header("X-Deadline-Ms", self.deadline.as_millis().to_string())
             .header("X-Weight", format!("units=1,spread={spread},first={first_node}"));
         if class.has_key {
-            message = message.header("Idempotency-Key", format!("{:032x}", request.number));
+            request_message = request_message.header("Idempotency-Key", format!("{:032x}", request.number));
         }
         let body = if class.has_body { Full::new(self.request_body.clone()) } else { Full::default() };
-        message.body(body).ok()
+        request_message.body(body).ok()
     }
 
-    /// The first of the account's nodes, so that this node is at a random place among them.
+    /// Returns the index of the first of the nodes that receive the account's requests. The account's nodes
+    /// have consecutive indexes modulo the number of nodes, and the measured node is at a position among them
+    /// that depends on the seed and the account.
     fn first_node(&self, account: u64) -> u64 {
         let node_count = u64::from(self.node_count);
-        let place = mix(self.seed, account) % u64::from(self.nodes_per_account);
-        (u64::from(self.node_index) + node_count - place) % node_count
+        let position = mix(self.seed, account) % u64::from(self.nodes_per_account);
+        (u64::from(self.node_index) + node_count - position) % node_count
     }
 }
 
-/// What became of a request on one connection.
-enum Attempt {
+/// What happened to a request on one connection.
+enum SendOutcome {
     Responded(ResponseHead),
+    /// The connection ended before a response came.
     NoResponse,
 }
 
-/// A response whose body is not read yet, and the connection that it came on.
+/// A response whose body has not been read yet, and the connection that carries it.
 struct ResponseHead {
     response: Response<Incoming>,
     sender: Sender,
--- a/crates/scale-bench/src/node/load/results.rs
+++ b/crates/scale-bench/src/node/load/results.rs
@@ -1,4 +1,4 @@
-//! What became of the requests.
+//! How the requests of the load ended, summed up over all of them.
 
 use std::time::Duration;
 
@@ -7,79 +7,83 @@
 use crate::error::BenchError;
 use crate::fakes::endpoints::Endpoints;
 
-/// Longer latencies, in microseconds, count as this.
+/// Longest latency that is recorded, in microseconds. Longer ones are recorded with this value.
 const MAX_LATENCY: u64 = 120_000_000;
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// With this status, in time.
+    /// A response with this status arrived in time, which is by the deadline plus a short tolerance.
     Status(u16),
-    /// With 200 in time, and a body that no endpoint made for it.
+    /// A response with status 200 arrived in time, but its body is not the one that an endpoint creates for
+    /// the request.
     WrongBody,
-    /// With a response after the deadline.
+    /// A response with any status arrived too late to be in time.
     Late,
-    /// Without a response for as long as was waited.
+    /// No response arrived until the client stopped waiting, which is after the deadline.
     Lost,
-    /// The connection failed or ended without a response.
+    /// The connection could not be opened, or it failed before a complete response arrived.
     ConnectionError,
 }
 
-/// What became of one request.
+/// The result of one request.
 pub struct RequestResult {
-    /// Its number.
+    /// Number of the request in the schedule, from 0.
     pub number: u32,
-    /// How it ended.
+    /// How the request ended.
     pub end: RequestEnd,
-    /// How long after it was due it was sent.
-    pub sent_late: Duration,
-    /// How long after it was due its response came, or the wait ended.
+    /// Time from when the request was due to when the client sent it.
+    pub send_delay: Duration,
+    /// Time from when the request was due to its response, or to the end of the wait for one.
     pub elapsed: Duration,
-    /// Whether it was sent once more, because its connection was closed meanwhile.
+    /// Whether the request was sent a second time because its idle connection was closed before a response
+    /// came.
     pub resent: bool,
-    /// Connections that were opened for it.
+    /// Number of connections that the clients opened for the request.
     pub connections_opened: u32,
 }
 
-/// What became of all requests.
+/// The results of all requests.
 pub struct LoadResults {
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: u64,
-    /// Responses of 200 in time.
+    /// Number of responses with status 200 that arrived in time and have the right body.
     pub ok: u64,
-    /// Responses of 429 in time.
+    /// Number of responses with status 429 that arrived in time.
     pub too_many_requests: u64,
-    /// Responses of 503 in time.
+    /// Number of responses with status 503 that arrived in time.
     pub unavailable: u64,
-    /// Responses of any other status in time.
+    /// Number of responses with any other status that arrived in time.
     pub other_status: u64,
-    /// Responses of 200 with a body that no endpoint made for the request.
+    /// Number of responses with status 200 that arrived in time with a wrong body.
     pub wrong_body: u64,
-    /// Responses that came after the deadline.
+    /// Number of responses that arrived too late to be in time.
     pub late: u64,
-    /// Requests without a response.
+    /// Number of requests without a response until the clients stopped waiting.
     pub lost: u64,
-    /// Connections that failed or ended without a response.
+    /// Number of requests whose connection could not be opened, or failed before a complete response arrived.
     pub connection_errors: u64,
-    /// Requests that were sent once more on a new connection.
+    /// Number of requests that were sent a second time, on a new connection.
     pub resent: u64,
-    /// Connections opened.
+    /// Number of connections that the clients opened.
     pub connections: u64,
-    /// Latency that the node added, in microseconds: of requests served, however late, and of those lost.
+    /// Latency that the node added, in microseconds: time from when the request was due to its end, less the
+    /// endpoint's service time. It is recorded for responses with status 200 that arrived in time with
+    /// the right body, for late responses with any status, and for lost requests.
     pub added_latency: Histogram<u64>,
-    /// The same from when requests were sent, so without what the clients themselves were late by.
+    /// Added latency less the time by which the client sent the request late, in microseconds.
     pub added_latency_from_sent: Histogram<u64>,
-    /// How late the clients sent, in microseconds.
-    pub sent_late: Histogram<u64>,
-    /// Attempts at endpoints for these requests.
+    /// Time from when a request was due to when the client sent it, in microseconds.
+    pub send_delay: Histogram<u64>,
+    /// Number of attempts that reached endpoints for these requests.
     pub attempts: u64,
 }
 
 impl LoadResults {
-    /// Creates results without requests.
+    /// Creates results of no requests.
     ///
     /// # Errors
-    /// If there is no memory for histograms.
+    /// Returns an error if a histogram can't be created.
     pub fn new() -> Result<LoadResults, BenchError> {
         Ok(LoadResults {
             sent: 0,
@@ -95,18 +99,18 @@
             connections: 0,
             added_latency: histogram()?,
             added_latency_from_sent: histogram()?,
-            sent_late: histogram()?,
+            send_delay: histogram()?,
             attempts: 0,
         })
     }
 
-    /// Adds what became of a request.
+    /// Adds the result of a request, and what the endpoints recorded about it.
     pub fn add(&mut self, result: &RequestResult, endpoints: &Endpoints) {
         self.sent += 1;
         self.resent += u64::from(result.resent);
         self.connections += u64::from(result.connections_opened);
         self.attempts += u64::from(endpoints.attempts(result.number));
-        self.sent_late.saturating_record(micros(result.sent_late));
+        self.send_delay.saturating_record(micros(result.send_delay));
         *self.count_of(result.end) += 1;
         if matches!(result.end, RequestEnd::Status(200) | RequestEnd::Late | RequestEnd::Lost) {
             self.add_latency(result, endpoints);
@@ -128,14 +132,14 @@
 
     fn add_latency(&mut self, result: &RequestResult, endpoints: &Endpoints) {
         let service_time = if result.end == RequestEnd::Lost {
-            // It took at least as long as was waited; an endpoint's part of that is not known.
+            // How much of the wait an endpoint took is unknown, so the whole wait counts as added latency.
             Duration::ZERO
         } else {
             endpoints.service_time(result.number)
         };
         let added = result.elapsed.saturating_sub(service_time);
         self.added_latency.saturating_record(micros(added));
-        self.added_latency_from_sent.saturating_record(micros(added.saturating_sub(result.sent_late)));
+        self.added_latency_from_sent.saturating_record(micros(added.saturating_sub(result.send_delay)));
     }
 }
 
--- a/crates/scale-bench/src/node/load/schedule.rs
+++ b/crates/scale-bench/src/node/load/schedule.rs
@@ -1,4 +1,4 @@
-//! Which requests are sent, and when.
+//! Draws which requests the clients send, and when.
 
 use std::time::Duration;
 
@@ -10,28 +10,28 @@
 use crate::node::option_values::Arrivals;
 use crate::node::options::Options;
 
-/// A request to be sent.
+/// A request that the clients are to send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ScheduledRequest {
-    /// Its number, from 0 in the order of sending; its id is made of it.
+    /// Number of the request, from 0 in the order of sending. The request id is derived from it.
     pub number: u32,
-    /// When to send it, from the start of the load.
+    /// When the request is due, since the start of the load.
     pub due: Duration,
-    /// Index of its class.
+    /// Index of the request class in `CLASSES`.
     pub class: usize,
-    /// Whether its plan has a quota.
+    /// Whether the account's plan has a quota.
     pub has_quota: bool,
-    /// The account that sends it.
+    /// Id of the account that sends the request.
     pub account: u64,
 }
 
-/// The requests of a run, in the order in which they are due: the same for the same seed.
+/// The requests of a run, in the order in which they are due. The same options give the same requests.
 pub struct RequestSchedule {
     requests: Vec<ScheduledRequest>,
 }
 
 impl RequestSchedule {
-    /// Draws them.
+    /// Draws the requests from the seed of the options.
     pub fn draw(options: &Options) -> RequestSchedule {
         let mut random = StdRng::seed_from_u64(mix(options.seed, 2));
         let mut requests = Vec::with_capacity((options.rate * options.load_s) as usize);
@@ -50,12 +50,12 @@
         }
     }
 
-    /// The requests.
+    /// Returns the requests.
     pub fn requests(&self) -> &[ScheduledRequest] {
         &self.requests
     }
 
-    /// The requests by value.
+    /// Returns the requests by value.
     pub fn into_requests(self) -> Vec<ScheduledRequest> {
         self.requests
     }
@@ -66,7 +66,7 @@
     let class = CLASSES.iter().position(|class| drawn_share < class.cumulative_share).unwrap_or(0);
     let has_quota = random.random::<f64>() < options.quota_share;
     let account = random.random_range(0..u64::from(options.tenants));
-    // Accounts under a quota and those under none are different ones.
+    // Account ids with a quota are odd and those without are even, so that no account has both kinds of plan.
     let account = account * 2 + u64::from(has_quota);
     ScheduledRequest { number, due, class, has_quota, account }
 }
--- a/crates/scale-bench/src/node/option_values.rs
+++ b/crates/scale-bench/src/node/option_values.rs
@@ -1,60 +1,61 @@
-//! The values of the `node` options that are neither numbers nor texts.
+//! Value types of the `node` options that are neither numbers nor strings.
 
 use std::str::FromStr;
 
 use clap::ValueEnum;
 use serde::Serialize;
 
-/// How requests are spaced.
+/// Distribution of the times between requests.
 #[derive(ValueEnum, Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Arrivals {
-    /// Each independent of the others.
+    /// Requests arrive independently of each other
     Poisson,
-    /// All alike.
+    /// All requests are the same time apart
     Even,
 }
 
-/// How work times at app servers are spread.
+/// Distribution of the work times at endpoints.
 #[derive(ValueEnum, Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WorkTimes {
-    /// Exponentially.
+    /// Work times are distributed exponentially
     Exponential,
-    /// All are the mean.
+    /// Every work time is the mean
     Fixed,
 }
 
-/// What list the node has at its start.
+/// The endpoint list that the node has when it starts.
 #[derive(ValueEnum, Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum InitialList {
-    /// The agent's own: nothing is new
+    /// The agent's current list, so that the agent has nothing new to send
     Current,
-    /// One a few changes old, told as changes
+    /// A list that is a few changes old; the agent sends these changes
     Stale,
-    /// One so old that the agent tells the whole list
+    /// A list so old that the agent sends the whole list
     Old,
-    /// None: the agent tells the whole list
+    /// No list; the agent sends the whole list
     None,
 }
 
-/// How an agent that was silent goes on.
+/// What the discovery agent sends first after it was silent.
 #[derive(ValueEnum, Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum AgentReturn {
-    /// With the whole list
+    /// The whole list
     Whole,
-    /// With the changes missed
+    /// The changes that the node has missed
     Changes,
 }
 
-/// A span of the time under load, in seconds from its start, such as `2..5`.
+/// A part of the load phase. Its text form is `FROM..TO` in seconds since the start of the load, such as
+/// `2..5`.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Span {
-    /// Its start.
+    /// Start of the span, in seconds since the start of the load.
     pub from_s: f64,
-    /// Its end.
+    /// End of the span, in seconds since the start of the load; greater than the start and at most 3600.
     pub to_s: f64,
 }
 
--- a/crates/scale-bench/src/node/options.rs
+++ b/crates/scale-bench/src/node/options.rs
@@ -1,4 +1,4 @@
-//! The arguments of `node`: their bounds, and what follows from them.
+//! The options of `node`, their bounds, and the limits that are derived from them.
 
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
@@ -13,158 +13,194 @@
 use crate::fakes::endpoint_list::MIN_NAME_LENGTH;
 use crate::report::Output;
 
-/// Requests of one run: some memory is kept for each.
+/// Maximum number of requests in a run. Each one takes memory until the end of the run.
 const MAX_REQUESTS: f64 = 5e6;
-/// Descriptors for listeners, files and runtimes.
+/// Number of file descriptors for listeners, files and runtimes.
 const OWN_DESCRIPTORS: u64 = 64;
-/// How many times their mean number of requests may be in flight at once.
+/// Ratio of the largest expected number of requests in flight to the mean number.
 const IN_FLIGHT_MARGIN: f64 = 1.25;
-/// No run takes more descriptors.
+/// Maximum number of file descriptors that a run may need.
 const MAX_DESCRIPTORS: u64 = 16_000;
-/// What a run may take beyond the times that its arguments name.
+/// Time that a run may take in addition to the times set by its options.
 const TIME_MARGIN: Duration = Duration::from_secs(15);
-/// The longest body of a request or a response, in bytes.
+/// Maximum length of a request or response body, in bytes.
 const MAX_BODY_LENGTH: usize = 60_000;
 
-/// Arguments of `node`. The fields are named after the options of the command line.
+/// Options of `node`. Each field has the name of its command-line option.
 #[derive(Args, Debug, Clone, Serialize)]
 pub struct Options {
-    /// The edge node's program, of this build or of an earlier one
+    /// Program of the edge node, from this build or an earlier one
     #[arg(long, value_name = "PATH", default_value = "target/release/edge-node")]
     pub program: PathBuf,
-    /// App servers in the list, each at a loopback address of its own
-    #[arg(long, value_name = "N", default_value_t = 200, value_parser = clap::value_parser!(u32).range(2..=200_000))]
+    /// Number of endpoints (app servers) in the endpoint list, each at its own loopback address
+    #[arg(
+        long, value_name = "N", default_value_t = 200,
+        value_parser = clap::value_parser!(u32).range(2..=200_000)
+    )]
     pub servers: u32,
-    /// Edge nodes that the settings tell of; one of them is run
-    #[arg(long, value_name = "N", default_value_t = 300, value_parser = clap::value_parser!(u32).range(1..=1_000_000))]
+    /// Number of edge nodes according to the node's settings; only one of them is run
+    #[arg(
+        long, value_name = "N", default_value_t = 300,
+        value_parser = clap::value_parser!(u32).range(1..=1_000_000)
+    )]
     pub nodes: u32,
-    /// The number of the one that is run, from 0
+    /// Index of the edge node that is run, from 0
     #[arg(long, value_name = "N", default_value_t = 0)]
     pub me: u32,
-    /// Gives the list, its changes, the arrivals and the work times
+    /// Seed of the endpoint list, its changes, the requests and their arrival times, the work times, and the
+    /// node's random choices
     #[arg(long, value_name = "N", default_value_t = 1)]
     pub seed: u64,
-    /// Requests a second
-    #[arg(long, value_name = "PER_S", default_value_t = 130.0, value_parser = within(0.1..=20_000.0))]
+    /// Mean number of requests per second
+    #[arg(long, value_name = "PER_S", default_value_t = 130.0, value_parser = number_within(0.1..=20_000.0))]
     pub rate: f64,
-    /// How requests are spaced
+    /// Distribution of the times between requests
     #[arg(long, value_enum, default_value_t = Arrivals::Poisson)]
     pub arrivals: Arrivals,
-    /// Seconds between readiness and the idle time
-    #[arg(long, value_name = "S", default_value_t = 1.0, value_parser = within(0.0..=600.0))]
+    /// Seconds from readiness to the start of the idle phase
+    #[arg(long, value_name = "S", default_value_t = 1.0, value_parser = number_within(0.0..=600.0))]
     pub settle_s: f64,
-    /// Seconds of idle time: no requests, changes go on
-    #[arg(long, value_name = "S", default_value_t = 3.0, value_parser = within(0.1..=3600.0))]
+    /// Seconds of the idle phase, in which no requests are sent but the endpoint list goes on changing
+    #[arg(long, value_name = "S", default_value_t = 3.0, value_parser = number_within(0.1..=3600.0))]
     pub idle_s: f64,
-    /// Seconds of load
-    #[arg(long, value_name = "S", default_value_t = 10.0, value_parser = within(0.1..=3600.0))]
+    /// Seconds of the load phase
+    #[arg(long, value_name = "S", default_value_t = 10.0, value_parser = number_within(0.1..=3600.0))]
     pub load_s: f64,
-    /// Seconds that the node may take to be ready
-    #[arg(long, value_name = "S", default_value_t = 60.0, value_parser = within(0.1..=600.0))]
+    /// Seconds that the node may take to become ready
+    #[arg(long, value_name = "S", default_value_t = 60.0, value_parser = number_within(0.1..=600.0))]
     pub ready_limit_s: f64,
-    /// Milliseconds that clients wait
-    #[arg(long, value_name = "MS", default_value_t = 1000, value_parser = clap::value_parser!(u64).range(1..=60_000))]
+    /// Deadline of each request, in milliseconds
+    #[arg(
+        long, value_name = "MS", default_value_t = 1000,
+        value_parser = clap::value_parser!(u64).range(1..=60_000)
+    )]
     pub deadline_ms: u64,
-    /// Bytes of the body of a POST
-    #[arg(long, value_name = "BYTES", default_value_t = 200, value_parser = body_size)]
+    /// Length of the body of a POST request, in bytes
+    #[arg(long, value_name = "BYTES", default_value_t = 200, value_parser = parse_body_length)]
     pub request_bytes: usize,
-    /// Bytes of the body of an answer; as many as an id has are the least
-    #[arg(long, value_name = "BYTES", default_value_t = 1024, value_parser = body_size)]
+    /// Length of the body of a response, in bytes; the body is never shorter than a request id
+    #[arg(long, value_name = "BYTES", default_value_t = 1024, value_parser = parse_body_length)]
     pub answer_bytes: usize,
-    /// Tenants under a quota that come to this node, and as many under none
-    #[arg(long, value_name = "N", default_value_t = 200, value_parser = clap::value_parser!(u32).range(1..=1_000_000_000))]
+    /// Number of accounts with a quota that send requests to this node; as many accounts without a quota send
+    /// requests, too
+    #[arg(
+        long, value_name = "N", default_value_t = 200,
+        value_parser = clap::value_parser!(u32).range(1..=1_000_000_000)
+    )]
     pub tenants: u32,
-    /// Share of the requests under a plan with a quota
-    #[arg(long, value_name = "SHARE", default_value_t = 0.5, value_parser = within(0.0..=1.0))]
+    /// Share of requests whose plan has a quota
+    #[arg(long, value_name = "SHARE", default_value_t = 0.5, value_parser = number_within(0.0..=1.0))]
     pub quota_share: f64,
-    /// Units a second of that quota
-    #[arg(long, value_name = "PER_S", default_value_t = 2.0, value_parser = within(0.001..=1e6))]
+    /// Units per second that the quota permits
+    #[arg(long, value_name = "PER_S", default_value_t = 2.0, value_parser = number_within(0.001..=1e6))]
     pub quota_per_s: f64,
-    /// Units of that quota that may come at once
-    #[arg(long, value_name = "UNITS", default_value_t = 12.0, value_parser = within(1.0..=1e6))]
+    /// Units that the quota permits at once (its burst)
+    #[arg(long, value_name = "UNITS", default_value_t = 12.0, value_parser = number_within(1.0..=1e6))]
     pub quota_burst: f64,
-    /// Nodes that a tenant's requests come to
-    #[arg(long, value_name = "N", default_value_t = 2, value_parser = clap::value_parser!(u32).range(1..=1_000_000))]
+    /// Number of nodes that receive an account's requests
+    #[arg(
+        long, value_name = "N", default_value_t = 2,
+        value_parser = clap::value_parser!(u32).range(1..=1_000_000)
+    )]
     pub spread: u32,
-    /// Mean milliseconds that an app server works on a request
-    #[arg(long, value_name = "MS", default_value_t = 5.0, value_parser = within(0.0..=10_000.0))]
+    /// Mean time that an endpoint works on a request, in milliseconds
+    #[arg(long, value_name = "MS", default_value_t = 5.0, value_parser = number_within(0.0..=10_000.0))]
     pub work_ms: f64,
-    /// How these are spread
+    /// Distribution of the times that endpoints work on requests
     #[arg(long, value_enum, default_value_t = WorkTimes::Exponential)]
     pub work_times: WorkTimes,
-    /// Seconds after which an app server closes an idle connection
-    #[arg(long, value_name = "S", default_value_t = 30.0, value_parser = within(0.1..=3600.0))]
+    /// Seconds after which an endpoint closes an idle connection
+    #[arg(long, value_name = "S", default_value_t = 30.0, value_parser = number_within(0.1..=3600.0))]
     pub conn_idle_s: f64,
-    /// Zones; servers are in one of them in turn
-    #[arg(long, value_name = "N", default_value_t = 19, value_parser = clap::value_parser!(u32).range(1..=1000))]
+    /// Number of zones; endpoints are assigned to them in turn
+    #[arg(
+        long, value_name = "N", default_value_t = 19, value_parser = clap::value_parser!(u32).range(1..=1000)
+    )]
     pub zones: u32,
-    /// Changes of the list a second: a server starts, another drains, it is removed, in turn
-    #[arg(long, value_name = "PER_S", default_value_t = 0.6, value_parser = within(0.0..=1000.0))]
+    /// Changes of the endpoint list per second: in turn, an endpoint starts, another one drains, and the
+    /// draining one is removed
+    #[arg(long, value_name = "PER_S", default_value_t = 0.6, value_parser = number_within(0.0..=1000.0))]
     pub changes_per_s: f64,
-    /// What list the node has at its start
+    /// Endpoint list that the node has when it starts
     #[arg(long, value_enum, default_value_t = InitialList::Old)]
     pub known: InitialList,
-    /// Lists are indented
+    /// Indent the JSON of the endpoint lists that the discovery agent sends
     #[arg(long)]
     pub indented: bool,
-    /// Bytes of a server's name
-    #[arg(long, value_name = "BYTES", default_value_t = MIN_NAME_LENGTH as u16, value_parser = clap::value_parser!(u16).range(MIN_NAME_LENGTH as i64..=200))]
+    /// Length of each endpoint's name, in bytes
+    #[arg(
+        long, value_name = "BYTES", default_value_t = MIN_NAME_LENGTH as u16,
+        value_parser = clap::value_parser!(u16).range(MIN_NAME_LENGTH as i64..=200)
+    )]
     pub name_length: u16,
-    /// A whole list of other servers comes so many seconds into the load
-    #[arg(long, value_name = "S", value_parser = within(0.0..=3600.0))]
+    /// Seconds into the load after which the discovery agent sends a whole list of other endpoints
+    #[arg(long, value_name = "S", value_parser = number_within(0.0..=3600.0))]
     pub replace_at_s: Option<f64>,
-    /// The agent is silent for this part of the load
+    /// Part of the load in which the discovery agent sends no responses, in seconds since the start of the
+    /// load
     #[arg(long, value_name = "FROM..TO")]
     pub agent_silent_s: Option<Span>,
-    /// How it goes on after that
+    /// What the discovery agent sends first after its silence
     #[arg(long, value_enum, default_value_t = AgentReturn::Whole)]
     pub agent_returns: AgentReturn,
-    /// The counter is silent for this part of the load
+    /// Part of the load in which the counter service sends no replies, in seconds since the start of the load
     #[arg(long, value_name = "FROM..TO")]
     pub counter_silent_s: Option<Span>,
-    /// Calls a second that the counter takes; further ones get -BUSY
-    #[arg(long, value_name = "PER_S", default_value_t = 800.0, value_parser = within(0.0..=1e6))]
+    /// Calls per second that the counter service accepts; it rejects further calls with -BUSY
+    #[arg(long, value_name = "PER_S", default_value_t = 800.0, value_parser = number_within(0.0..=1e6))]
     pub counter_per_s: f64,
-    /// Milliseconds that each of its answers takes
-    #[arg(long, value_name = "MS", default_value_t = 1.0, value_parser = within(0.0..=10_000.0))]
+    /// Milliseconds that the counter service takes to reply to a call
+    #[arg(long, value_name = "MS", default_value_t = 1.0, value_parser = number_within(0.0..=10_000.0))]
     pub counter_delay_ms: f64,
-    /// Descriptors that the node is told it may hold
-    #[arg(long, value_name = "N", default_value_t = 1024, value_parser = clap::value_parser!(u32).range(64..=16_384))]
+    /// Limit of file descriptors in the node's configuration
+    #[arg(
+        long, value_name = "N", default_value_t = 1024,
+        value_parser = clap::value_parser!(u32).range(64..=16_384)
+    )]
     pub sockets: u32,
-    /// Megabytes that the node is told it may use; not enforced
-    #[arg(long, value_name = "MB", default_value_t = 192, value_parser = clap::value_parser!(u32).range(16..=8_192))]
+    /// Memory limit in the node's configuration, in megabytes; not enforced
+    #[arg(
+        long, value_name = "MB", default_value_t = 192,
+        value_parser = clap::value_parser!(u32).range(16..=8_192)
+    )]
     pub memory_mb: u32,
-    /// Where the figures go.
+    /// Where the figures are written.
     #[command(flatten)]
     #[serde(skip)]
     pub output: Output,
 }
 
 impl Options {
-    /// Checks that the arguments make sense together.
+    /// Checks that the options don't contradict each other and that the run is not too large.
     ///
     /// # Errors
-    /// If they don't, or if the run would be too large.
+    /// Returns an error that names the options that contradict each other or exceed a maximum.
     pub fn check(&self) -> Result<(), BenchError> {
         if self.me >= self.nodes {
-            return refuse(format!("--me {} is none of --nodes {} numbered from 0", self.me, self.nodes));
+            return argument_error(format!("--me {} must be less than --nodes {}", self.me, self.nodes));
         }
         if self.spread > self.nodes {
-            return refuse(format!("--spread {} is more than --nodes {}", self.spread, self.nodes));
+            return argument_error(format!(
+                "--spread {} must not be more than --nodes {}",
+                self.spread, self.nodes
+            ));
         }
         if self.rate * self.load_s > MAX_REQUESTS {
-            return refuse(format!("--rate times --load-s is more than {MAX_REQUESTS} requests"));
+            return argument_error(format!(
+                "--rate times --load-s is more than the maximum of {MAX_REQUESTS} requests"
+            ));
         }
         let needed = self.descriptors();
         if needed > MAX_DESCRIPTORS {
-            return refuse(format!(
-                "--rate, --deadline-ms and --sockets may take {needed} descriptors; {MAX_DESCRIPTORS} are the most"
+            return argument_error(format!(
+                "--rate, --deadline-ms and --sockets may need {needed} file descriptors; the \
+                 maximum is {MAX_DESCRIPTORS}"
             ));
         }
         self.check_times()
     }
 
-    /// Checks that all that happens under load happens before the load ends.
+    /// Checks that all events scheduled for the load happen before the load ends.
     fn check_times(&self) -> Result<(), BenchError> {
         let ends = [
             ("--agent-silent-s", self.agent_silent_s.map(|span| span.to_s)),
@@ -173,40 +209,44 @@
         ];
         for (name, end) in ends {
             if let Some(end) = end.filter(|end| *end > self.load_s) {
-                return refuse(format!("{name} {end} is past --load-s {}", self.load_s));
+                return argument_error(format!(
+                    "{name} {end} is after the end of the load, --load-s {}",
+                    self.load_s
+                ));
             }
         }
         Ok(())
     }
 
-    /// Descriptors that this process needs: a client's connection for each request that may be in flight at once,
-    /// and the endpoints' side of the node's connections.
+    /// Returns how many file descriptors this process needs: one for the client connection of each request
+    /// that may be in flight, one for the endpoint side of each connection of the node, and a fixed number
+    /// for its own files.
     pub fn descriptors(&self) -> u64 {
         let in_flight = self.rate * (self.deadline_ms as f64 / 1e3 + MAX_LATENESS.as_secs_f64());
         (IN_FLIGHT_MARGIN * in_flight) as u64 + u64::from(self.sockets) + OWN_DESCRIPTORS
     }
 
-    /// The time limit of the whole run.
+    /// Returns the time limit of the whole run: the times set by the options plus a margin.
     pub fn time_limit(&self) -> Duration {
-        let named_s = self.ready_limit_s + self.settle_s + self.idle_s + self.load_s;
-        let named = Duration::from_secs_f64(named_s);
-        named + Duration::from_millis(self.deadline_ms) + MAX_LATENESS + TIME_MARGIN
+        let configured_s = self.ready_limit_s + self.settle_s + self.idle_s + self.load_s;
+        let configured = Duration::from_secs_f64(configured_s);
+        configured + Duration::from_millis(self.deadline_ms) + MAX_LATENESS + TIME_MARGIN
     }
 }
 
-fn refuse(reason: String) -> Result<(), BenchError> {
+fn argument_error(reason: String) -> Result<(), BenchError> {
     Err(BenchError::Argument(reason))
 }
 
-fn body_size(text: &str) -> Result<usize, String> {
+fn parse_body_length(text: &str) -> Result<usize, String> {
     match text.parse() {
         Ok(size) if size <= MAX_BODY_LENGTH => Ok(size),
         _ => Err(format!("expected 0 to {MAX_BODY_LENGTH} bytes")),
     }
 }
 
-/// Reads a number within bounds, both of them allowed.
-fn within(
+/// Returns a value parser for numbers within `bounds`, which are themselves permitted.
+fn number_within(
     bounds: RangeInclusive<f64>,
 ) -> impl Fn(&str) -> Result<f64, String> + Clone + Send + Sync + 'static {
     move |text| match text.parse() {
@@ -216,7 +256,7 @@
 }
 
 impl Default for Options {
-    /// The defaults of the command line.
+    /// Returns the defaults of the command line.
     fn default() -> Self {
         #[derive(Parser)]
         struct NoArguments {
--- a/crates/scale-bench/src/node/peers.rs
+++ b/crates/scale-bench/src/node/peers.rs
@@ -1,4 +1,4 @@
-//! The fakes of a run, and what happens to them while it goes on.
+//! Starts the fake peers of a run, and schedules what happens to them during the run.
 
 use std::future::Future;
 use std::io;
@@ -18,32 +18,33 @@
 use crate::fakes::endpoints::{Endpoints, WorkModel};
 use crate::fakes::hash::mix;
 
-/// Changes that the agent has seen since the list that the node has at its start.
+/// Number of list changes by which a stale or old initial list of the node is behind the agent's list.
 const CHANGES_BEFORE_START: u32 = 9;
 
-/// The fakes of a run.
+/// The fake peers of the edge node.
 pub struct Peers {
-    /// The discovery agent.
+    /// The fake discovery agent.
     pub agent: Arc<DiscoveryAgent>,
-    /// The counter service.
+    /// The fake counter service.
     pub counter: Arc<CounterService>,
-    /// The endpoints.
+    /// The fake endpoints.
     pub endpoints: Arc<Endpoints>,
 }
 
-/// The fakes, and the list that the node has at its start.
+/// The fake peers, and the endpoint list that the node has when it starts.
 pub struct StartedPeers {
-    /// The fakes.
+    /// The fake peers.
     pub peers: Peers,
-    /// The list.
+    /// The endpoint list that goes into the node's configuration.
     pub initial_list: ListMessage,
 }
 
 impl Peers {
-    /// Starts the endpoints in the runtime of the caller, and the others in `control`.
+    /// Starts the endpoints in the caller's runtime, and the discovery agent and the counter service in
+    /// `control`.
     ///
     /// # Errors
-    /// If one of them can't listen.
+    /// Returns an error if one of them can't listen.
     pub async fn start(
         options: &Options,
         control: &Runtime,
@@ -51,7 +52,7 @@
         request_count: u32,
     ) -> Result<StartedPeers, BenchError> {
         let endpoints = Endpoints::start(work, request_count).map_err(|source| BenchError::System {
-            what: "cannot listen for app servers on the loopback device alone",
+            what: "cannot listen for the endpoints on the loopback device alone",
             source,
         })?;
         let mut list = EndpointList::new(ListShape {
@@ -63,22 +64,23 @@
         });
         let initial_list = initial_list(&mut list, options.known);
         let agent = DiscoveryAgent::start(list, options.indented);
-        let agent = start_in(control, "cannot listen for the agent", agent).await?;
+        let agent = start_in(control, "cannot listen for the discovery agent", agent).await?;
         let capacity = CounterCapacity {
             calls_per_second: options.counter_per_s,
             delay: Duration::from_secs_f64(options.counter_delay_ms / 1e3),
         };
         let counter = CounterService::start(capacity);
-        let counter = start_in(control, "cannot listen for the counter", counter).await?;
+        let counter = start_in(control, "cannot listen for the counter service", counter).await?;
         Ok(StartedPeers { peers: Peers { agent, counter, endpoints }, initial_list })
     }
 
-    /// Where the node finds agent and counter service.
+    /// Returns the addresses of the discovery agent and the counter service.
     pub fn addresses(&self) -> PeerAddresses {
         PeerAddresses { agent: self.agent.address(), counter: self.counter.address() }
     }
 
-    /// Changes the list at its rate from now on, for as long as the runtime lives.
+    /// Starts to change the endpoint list at the rate of the options. The changes go on for as long as the
+    /// runtime `control` lives. Does nothing if the rate is 0.
     pub fn start_list_changes(&self, options: &Options, control: &Runtime) {
         if options.changes_per_s <= 0.0 {
             return;
@@ -94,7 +96,8 @@
         });
     }
 
-    /// Schedules what is to happen under a load that starts at `load_start`.
+    /// Schedules the replacement of the endpoint list and the silences that the options ask for, relative to
+    /// the start of the load.
     pub fn schedule_disturbances(&self, options: &Options, control: &Runtime, load_start: Instant) {
         if let Some(at_s) = options.replace_at_s {
             control.spawn(replace_list(self.agent.clone(), load_start + Duration::from_secs_f64(at_s)));
@@ -109,7 +112,7 @@
     }
 }
 
-/// How the endpoints work.
+/// Returns how the endpoints work on requests.
 pub fn work_model(options: &Options) -> WorkModel {
     WorkModel {
         seed: mix(options.seed, 4),
@@ -120,7 +123,8 @@
     }
 }
 
-/// Makes the list that the node has at its start; the agent's is as much newer as the arguments say.
+/// Returns the endpoint list that the node has when it starts, and brings the agent's list as far ahead of it
+/// as `initial` says.
 fn initial_list(list: &mut EndpointList, initial: InitialList) -> ListMessage {
     let snapshot = list.snapshot();
     match initial {
@@ -144,6 +148,7 @@
     }
 }
 
+/// Runs `start` in a runtime and returns its result. `what` says what failed in the text of an error.
 async fn start_in<T: Send + 'static>(
     runtime: &Runtime,
     what: &'static str,
--- a/crates/scale-bench/src/node/phases.rs
+++ b/crates/scale-bench/src/node/phases.rs
@@ -1,4 +1,4 @@
-//! The idle time and the load of a run, and what is read before and after each.
+//! Runs the idle phase and the load phase, and takes readings before and after each of them.
 
 use std::time::Duration;
 
@@ -17,15 +17,16 @@
 use crate::fakes::endpoints::{EndpointCounts, WorkModel};
 use crate::fakes::traffic::ByteCounts;
 
-/// What the edge node has used and its peers have seen up to a point in time.
+/// The resources that the edge node has used, and the bytes that its peers have exchanged, up to a point in
+/// time.
 pub struct Reading {
-    /// What the node has used.
+    /// Resources that the node has used.
     pub usage: Usage,
-    /// The bytes of the discovery agent.
+    /// Bytes that the discovery agent has received and sent.
     pub agent: ByteCounts,
-    /// The bytes of the counter service.
+    /// Bytes that the counter service has received and sent.
     pub counter: ByteCounts,
-    /// When this was read.
+    /// When this reading was taken.
     pub read_at: Instant,
 }
 
@@ -37,42 +38,43 @@
     }
 }
 
-/// Counts before and after the load.
+/// Readings of the same values before and after the load.
 pub struct BeforeAndAfter<T> {
-    /// Before it.
+    /// Reading before the load.
     pub before: T,
-    /// After it.
+    /// Reading after the load.
     pub after: T,
 }
 
-/// All that was measured.
+/// All measurements of a run.
 pub struct Measured {
-    /// At the start of the idle time.
+    /// Reading at the start of the idle phase.
     pub before_idle: Reading,
-    /// At its end, which is the start of the load.
+    /// Reading at the end of the idle phase, which is the start of the load phase.
     pub after_idle: Reading,
-    /// At the end of the load.
+    /// Reading at the end of the load phase, when requests may still be in flight.
     pub after_load: Reading,
-    /// What became of the requests.
+    /// Results of the requests.
     pub results: LoadResults,
-    /// What the node has used once all requests had ended.
+    /// Resources that the node has used until all requests had ended.
     pub usage_at_end: Usage,
-    /// The messages of the discovery agent.
+    /// Messages that the discovery agent has sent.
     pub agent_messages: BeforeAndAfter<MessageCounts>,
-    /// The calls of the counter service.
+    /// Calls that the counter service has received.
     pub counter_calls: BeforeAndAfter<CallCounts>,
-    /// What this process has used.
+    /// Resources that this process has used; the reading after the load is taken at the end of the load
+    /// phase.
     pub own_usage: BeforeAndAfter<Usage>,
-    /// What the endpoints have counted in the whole run.
+    /// Counts of the endpoints, over the whole run.
     pub endpoints: EndpointCounts,
-    /// Lines of the node's log in the whole run.
+    /// Number of lines that the node has written to its log, over the whole run.
     pub log_lines: u64,
 }
 
-/// Lets the node settle and idle, then sends the load.
+/// Waits for the node to settle, runs the idle phase and then the load phase, and returns the measurements.
 ///
 /// # Errors
-/// If the node ends meanwhile.
+/// Returns an error if the node exits during the run, or if the load can't be started.
 pub async fn run(
     options: &Options,
     control: &Runtime,
@@ -93,7 +95,7 @@
     peers.schedule_disturbances(options, control, load_start);
     let sending = load::send(schedule, edge.address, options, peers.endpoints.clone(), work);
     let load_end = load_start + Duration::from_secs_f64(options.load_s);
-    let (results, at_end) = tokio::try_join!(sending, read_at(load_end, edge, peers))?;
+    let (results, at_end) = tokio::try_join!(sending, take_readings_at(load_end, edge, peers))?;
 
     Ok(Measured {
         before_idle,
@@ -109,13 +111,14 @@
     })
 }
 
-struct ReadingAtEnd {
+struct EndReadings {
     reading: Reading,
     own_usage: Usage,
 }
 
-async fn read_at(at: Instant, edge: &EdgeNode, peers: &Peers) -> Result<ReadingAtEnd, BenchError> {
+/// Takes the readings of the end of the load phase at the time `at`.
+async fn take_readings_at(at: Instant, edge: &EdgeNode, peers: &Peers) -> Result<EndReadings, BenchError> {
     sleep_until(at).await;
     let own_usage = Usage::of(std::process::id())?;
-    Ok(ReadingAtEnd { reading: Reading::new(edge, peers)?, own_usage })
+    Ok(EndReadings { reading: Reading::new(edge, peers)?, own_usage })
 }
--- a/crates/scale-bench/src/node/usage.rs
+++ b/crates/scale-bench/src/node/usage.rs
@@ -1,4 +1,4 @@
-//! What the kernel reports of a process: processor time and memory.
+//! Reads the processor time and memory of a process from `/proc`.
 
 use std::collections::BTreeMap;
 use std::ffi::OsString;
@@ -9,49 +9,50 @@
 use crate::error::BenchError;
 use crate::memory::Memory;
 
-/// Fields of `/proc/PID/stat` between the process's name and `utime`.
+/// Number of fields of `/proc/PID/stat` between the process name and `utime`.
 const FIELDS_BEFORE_UTIME: usize = 11;
 
-/// Scheduler times of a thread.
+/// How long a thread has run on a processor, and how long it has waited for one.
 #[derive(Debug, Clone, Copy, Default)]
 struct ThreadTimes {
     running: Duration,
     waiting: Duration,
 }
 
-/// By thread id.
+/// Scheduler times of threads by thread id.
 type ThreadTimesById = BTreeMap<OsString, ThreadTimes>;
 
-/// What a process has used up to a point in time.
+/// Processor time and memory that a process has used up to a point in time.
 #[derive(Debug, Clone)]
 pub struct Usage {
-    /// The scheduler times of its threads, where the kernel reports them.
+    /// Scheduler times of the threads that exist. `None` if the kernel does not report them.
     threads: Option<ThreadTimesById>,
-    /// Processor time of all its threads, also of those that have ended, in whole clock ticks.
+    /// Processor time of all threads, including those that have ended, in whole clock ticks.
     ticks: Duration,
-    /// Its memory.
+    /// Memory of the process.
     pub memory: Memory,
     read_at: Instant,
 }
 
 impl Usage {
-    /// Reads it from `/proc`.
+    /// Reads the usage of a process from `/proc`.
     ///
     /// # Errors
-    /// If there is no such process.
+    /// Returns an error if there is no such process or it has exited.
     pub fn of(process_id: u32) -> Result<Usage, BenchError> {
         let read_at = Instant::now();
         let threads = read_thread_times(process_id);
         let ticks = read_ticks(process_id)?;
         let memory = Memory::of(&process_id.to_string())?;
-        let memory = memory.ok_or_else(|| BenchError::EdgeNode("has ended".into()))?;
+        let memory = memory.ok_or_else(|| BenchError::EdgeNode("its process has exited".into()))?;
         Ok(Usage { threads, ticks, memory, read_at })
     }
 
-    /// The processor time used since an earlier reading, in percent of one core.
+    /// Returns the processor time used since an earlier reading, in percent of one core.
     ///
-    /// A clock tick is 10 ms, more than an idle edge node uses in seconds; and the scheduler's times of a thread are
-    /// lost once it has ended. So the larger of both counts.
+    /// The result is the larger of two measures, because each can miss time. The process's time is counted in
+    /// clock ticks of 10 ms, which is more than an idle edge node uses in several seconds. The scheduler's
+    /// times are exact, but those of a thread are lost once the thread has ended.
     pub fn cpu_percent_since(&self, earlier: &Usage) -> f64 {
         let ticks = self.ticks.saturating_sub(earlier.ticks + clock_tick());
         let cpu_time = match self.thread_times_since(earlier) {
@@ -61,14 +62,15 @@
         100.0 * cpu_time.as_secs_f64() / self.seconds_since(earlier)
     }
 
-    /// The time waited for a processor since an earlier reading, in percent; none where the kernel does not report
-    /// it.
+    /// Returns the time for which threads waited for a processor since an earlier reading, summed over all
+    /// threads, in percent of the time between the readings. Returns `None` if the kernel does not report it.
     pub fn waiting_percent_since(&self, earlier: &Usage) -> Option<f64> {
         let times = self.thread_times_since(earlier)?;
         Some(100.0 * times.waiting.as_secs_f64() / self.seconds_since(earlier))
     }
 
-    /// The sum over all threads.
+    /// Returns the scheduler times since an earlier reading, summed over the threads that still exist.
+    /// Returns `None` if the kernel does not report them.
     fn thread_times_since(&self, earlier: &Usage) -> Option<ThreadTimes> {
         let earlier_threads = earlier.threads.as_ref()?;
         let mut sum = ThreadTimes::default();
@@ -85,12 +87,13 @@
     }
 }
 
-/// Reads the first two fields of each thread's `schedstat`; none where the kernel does not fill them in.
+/// Reads the first two fields of each thread's `schedstat`: its running and its waiting time in nanoseconds.
+/// Returns `None` if the files can't be read, or if the kernel does not fill in the fields.
 fn read_thread_times(process_id: u32) -> Option<ThreadTimesById> {
     let mut threads = ThreadTimesById::new();
     for thread in std::fs::read_dir(format!("/proc/{process_id}/task")).ok()? {
         let thread = thread.ok()?;
-        // A thread that has just ended is left out.
+        // A thread that has ended since the directory was listed is left out.
         let Ok(text) = std::fs::read_to_string(thread.path().join("schedstat")) else { continue };
         let mut fields = text.split_whitespace().map_while(|field| field.parse().ok());
         let running = Duration::from_nanos(fields.next()?);
@@ -101,15 +104,16 @@
     is_filled_in.then_some(threads)
 }
 
+/// Returns the length of a clock tick of the kernel's process times.
 fn clock_tick() -> Duration {
     Duration::from_secs_f64(1.0 / rustix::param::clock_ticks_per_second().max(1) as f64)
 }
 
-/// Reads `utime` and `stime`.
+/// Returns the processor time of a process, the sum of `utime` and `stime` in `/proc/PID/stat`.
 fn read_ticks(process_id: u32) -> Result<Duration, BenchError> {
     let path = format!("/proc/{process_id}/stat");
     let stat = std::fs::read_to_string(&path).map_err(|source| BenchError::File { path, source })?;
-    // The process's name, in parentheses, may hold anything.
+    // The process name stands in parentheses and may itself contain spaces and parentheses.
     let after_name = stat.rsplit(')').next().unwrap_or("");
     let times = after_name.split_whitespace().skip(FIELDS_BEFORE_UTIME).take(2);
     let ticks: u64 = times.map(|field| field.parse().unwrap_or(0)).sum();
