--- a/crates/scale-bench/src/decisions.rs
+++ b/crates/scale-bench/src/decisions.rs
@@ -1,7 +1,9 @@
-//! What the decision engine takes for a request, a timer and a list, alone: no sockets, a simulated clock.
+//! The subcommand `decisions`: measures the time and memory that the decision engine alone takes for
+//! requests, timers and endpoint lists, without sockets and on a simulated clock.
 //!
-//! These files are also built over earlier revisions of the engine (README), so they use only what those share:
-//! `DecisionEngine::new` and `handle`, and the types of events, actions and settings.
+//! These files are also compiled against earlier revisions of the engine (see the README). They therefore use
+//! only the items that all these revisions have: `DecisionEngine::new` and `handle`, and the types of events,
+//! actions and settings.
 
 mod comparison;
 mod endpoint_list;
@@ -18,12 +20,14 @@
 use crate::error::BenchError;
 use crate::report::Report;
 
+/// One second of the simulated clock.
 const SECOND: Micros = 1_000_000;
 
-/// Makes the run and prints its figures.
+/// Runs the measurement, or with `--beside` the comparison of two builds, and prints the figures.
 ///
 /// # Errors
-/// If an argument is out of bounds, the run takes too long, or the figures can't be written.
+/// If an argument is out of bounds, a run takes longer than its time limit, a run of the comparison fails, or
+/// the figures can't be written.
 pub fn run(options: Options) -> Result<(), BenchError> {
     options.check()?;
     let report = match &options.beside {
@@ -33,9 +37,11 @@
     report.print(&options.output)
 }
 
-/// A report without figures for these arguments.
+/// Creates a report with these arguments and without figures.
 fn new_report(options: &Options) -> Result<Report, BenchError> {
-    let arguments = serde_json::to_value(options)
-        .map_err(|error| BenchError::System { what: "cannot tell the arguments", source: error.into() })?;
+    let arguments = serde_json::to_value(options).map_err(|error| BenchError::System {
+        what: "cannot serialize the arguments",
+        source: error.into(),
+    })?;
     Ok(Report::new("decisions", arguments))
 }
--- a/crates/scale-bench/src/decisions/comparison.rs
+++ b/crates/scale-bench/src/decisions/comparison.rs
@@ -1,4 +1,5 @@
-//! Runs this build and another in turn, each in a process of its own, and reports the ratios of their figures.
+//! Runs this build and another one alternately, each run in a process of its own, and reports the medians of
+//! their figures and the ratios between them.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -9,19 +10,22 @@
 use crate::report::{Figure, Report};
 use crate::slopes::child;
 
-/// The reports of both builds in one round.
+/// The reports of both builds from one round.
 struct Round {
-    ours: Report,
-    theirs: Report,
+    this: Report,
+    other: Report,
 }
 
-/// The values of one figure in one round.
+/// The values of one figure for both builds in one round.
 struct Pair {
-    ours: f64,
-    theirs: f64,
+    this: f64,
+    other: f64,
 }
 
-/// Makes the runs and reports medians and ratios.
+/// Runs all rounds and returns a report of medians and ratios.
+///
+/// # Errors
+/// If the path of this program is unknown, or a run fails.
 pub fn compare(options: &Options, other_program: &Path) -> Result<Report, BenchError> {
     let this_program = std::env::current_exe()
         .map_err(|source| BenchError::System { what: "cannot find this program", source })?;
@@ -31,20 +35,20 @@
     let mut rounds = Vec::new();
     for round in 0..options.rounds {
         let seed = options.seed.wrapping_add(round.into());
-        let our_line = options.command_line(seed, options.servers, options.nodes);
-        let their_line = options.command_line(seed, other_servers, other_nodes);
-        let run_ours = || child::run(&this_program, &our_line, time_limit_at);
-        let run_theirs = || child::run(other_program, &their_line, time_limit_at);
-        // Each is first in turn, so that what slows the machine down affects both alike.
+        let this_command_line = options.command_line(seed, options.servers, options.nodes);
+        let other_command_line = options.command_line(seed, other_servers, other_nodes);
+        let run_this_build = || child::run(&this_program, &this_command_line, time_limit_at);
+        let run_other_build = || child::run(other_program, &other_command_line, time_limit_at);
+        // The builds take turns at running first, so that a change of the machine's load affects both alike.
         let reports = if round % 2 == 0 {
-            run_ours().and_then(|ours| Ok(Round { ours, theirs: run_theirs()? }))
+            run_this_build().and_then(|this| Ok(Round { this, other: run_other_build()? }))
         } else {
-            run_theirs().and_then(|theirs| Ok(Round { ours: run_ours()?, theirs }))
+            run_other_build().and_then(|other| Ok(Round { this: run_this_build()?, other }))
         };
         rounds.push(reports.map_err(BenchError::Argument)?);
     }
     let mut report = new_report(options)?;
-    for figure in rounds.first().map_or(&[][..], |first| &first.ours.figures) {
+    for figure in rounds.first().map_or(&[][..], |first| &first.this.figures) {
         add_comparison(figure, &rounds, &mut report);
     }
     let count = options.rounds;
@@ -55,21 +59,24 @@
     Ok(report)
 }
 
-/// Adds the medians of a figure that both builds have in every round; for times also the ratios.
+/// Adds the medians of a figure, and the ratios if its unit is a time or a share of a core. Adds nothing if
+/// the figure is missing from a build's report in any round.
 fn add_comparison(figure: &Figure, rounds: &[Round], report: &mut Report) {
     let name = &figure.name;
     let unit = &figure.unit;
-    let values = |round: &Round| Some(Pair { ours: round.ours.get(name)?, theirs: round.theirs.get(name)? });
+    let values = |round: &Round| Some(Pair { this: round.this.get(name)?, other: round.other.get(name)? });
     let Some(pairs) = rounds.iter().map(values).collect::<Option<Vec<Pair>>>() else { return };
-    report.add(name, median(pairs.iter().map(|pair| pair.ours).collect()), unit);
-    report.add(&format!("beside_{name}"), median(pairs.iter().map(|pair| pair.theirs).collect()), unit);
+    report.add(name, median(pairs.iter().map(|pair| pair.this).collect()), unit);
+    report.add(&format!("beside_{name}"), median(pairs.iter().map(|pair| pair.other).collect()), unit);
     if unit == "us" || unit == "%" {
         add_ratios(name, &pairs, report);
     }
 }
 
+/// Adds the smallest, the largest and the median ratio over the rounds, unless one of the ratios is not
+/// finite.
 fn add_ratios(name: &str, pairs: &[Pair], report: &mut Report) {
-    let mut ratios: Vec<f64> = pairs.iter().map(|pair| pair.ours / pair.theirs).collect();
+    let mut ratios: Vec<f64> = pairs.iter().map(|pair| pair.this / pair.other).collect();
     ratios.sort_by(f64::total_cmp);
     if ratios.iter().all(|ratio| ratio.is_finite()) {
         report.add(&format!("ratio_{name}_least"), ratios[0], "x");
@@ -78,6 +85,7 @@
     }
 }
 
+/// Returns the median of the values, of which there is at least one.
 fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     (values[(values.len() - 1) / 2] + values[values.len() / 2]) / 2.0
--- a/crates/scale-bench/src/decisions/endpoint_list.rs
+++ b/crates/scale-bench/src/decisions/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list of the measured node and how it changes.
+//! The endpoint list of the measured node, and the changes made to it.
 
 use std::collections::BTreeSet;
 
@@ -8,38 +8,39 @@
 
 use super::SECOND;
 
-/// Zones of the fleet, and cells in each.
+/// Number of zones of the fleet.
 pub const ZONES: u32 = 19;
+/// Number of cells in each zone.
 const CELLS_PER_ZONE: u32 = 4;
-/// Endpoints of a new list started this many seconds ago.
+/// Range from which the age of each endpoint of a new list is drawn, in seconds.
 const AGE_IN_SECONDS: std::ops::Range<u64> = 60..86_400;
-/// An endpoint's weight is one of these.
+/// Values from which an endpoint's weight is drawn.
 const WEIGHTS: [f64; 3] = [1.0, 1.0, 2.0];
 
-/// The endpoints in service, and the one that is being replaced.
+/// The endpoints in service, and the endpoint that is being replaced.
 pub struct EndpointList {
     entries: Vec<EndpointEntry>,
     used_ids: BTreeSet<u32>,
-    /// The endpoint that is being replaced, as its latest change showed it.
-    leaving: Option<EndpointEntry>,
+    /// The endpoint that is being replaced, in its latest state: draining or removed.
+    being_replaced: Option<EndpointEntry>,
 }
 
 impl EndpointList {
     /// Draws a list of `count` endpoints.
     pub fn draw(random: &mut StdRng, now: Micros, count: u32) -> Self {
-        let mut list = EndpointList { entries: Vec::new(), used_ids: BTreeSet::new(), leaving: None };
+        let mut list = EndpointList { entries: Vec::new(), used_ids: BTreeSet::new(), being_replaced: None };
         list.replace_all(random, now, count);
         list
     }
 
-    /// The endpoints in service.
+    /// Returns the endpoints in service, without the one that is being replaced.
     pub fn entries(&self) -> &[EndpointEntry] {
         &self.entries
     }
 
-    /// Replaces all endpoints by `count` new ones.
+    /// Replaces all endpoints with `count` new ones.
     pub fn replace_all(&mut self, random: &mut StdRng, now: Micros, count: u32) {
-        self.leaving = None;
+        self.being_replaced = None;
         self.entries = Vec::new();
         for _ in 0..count {
             let age = random.random_range(AGE_IN_SECONDS) * SECOND;
@@ -48,20 +49,20 @@
         }
     }
 
-    /// Makes the next change and returns its entry: an endpoint drains, then it is removed, then a new one starts
-    /// in its place.
+    /// Makes the next change and returns its entry. The changes repeat in three steps: an endpoint drains, it
+    /// is removed, and a new endpoint starts in its place.
     pub fn next_change(&mut self, random: &mut StdRng, now: Micros) -> EndpointEntry {
-        match self.leaving.take() {
+        match self.being_replaced.take() {
             None => {
                 let index = random.random_range(0..self.entries.len());
                 let chosen = self.entries.swap_remove(index);
                 let draining = EndpointEntry { state: EndpointState::Draining, ..chosen };
-                self.leaving = Some(draining.clone());
+                self.being_replaced = Some(draining.clone());
                 draining
             }
             Some(draining) if draining.state == EndpointState::Draining => {
                 let removed = EndpointEntry { state: EndpointState::Removed, ..draining };
-                self.leaving = Some(removed.clone());
+                self.being_replaced = Some(removed.clone());
                 removed
             }
             Some(_) => {
@@ -72,9 +73,9 @@
         }
     }
 
-    /// Draws an endpoint with an id that none had before.
+    /// Draws an endpoint with an id that has not been used before.
     fn draw_endpoint(&mut self, random: &mut StdRng, started_at: Micros) -> EndpointEntry {
-        // Ids have 32 bits because earlier revisions of the engine hold no more.
+        // Ids are limited to 32 bits because earlier revisions of the engine store no more.
         let id = loop {
             let id: u32 = random.random();
             if self.used_ids.insert(id) {
--- a/crates/scale-bench/src/decisions/measurement.rs
+++ b/crates/scale-bench/src/decisions/measurement.rs
@@ -1,4 +1,4 @@
-//! The phases of one run in this process, and its report.
+//! Runs the phases of one measurement in this process and builds its report.
 
 use edge_node::decision::Micros;
 
@@ -10,24 +10,27 @@
 use crate::memory::Memory;
 use crate::report::Report;
 
-/// List changes that are timed after the load has ended: during it there are too few for a median.
+/// Number of list changes timed after the load has ended. Too few happen under load for a median.
 const CHANGES_AFTER_LOAD: usize = 60;
-/// Once no more requests come, all that is in flight is over within this time.
+/// Simulated time after the last request within which everything in flight ends.
 const DRAIN_TIME: Micros = 2 * SECOND;
-/// Simulated time between two list changes or lists that are timed after the load.
+/// Simulated time between two list changes or whole lists that are timed after the load.
 const LIST_INTERVAL: Micros = SECOND / 50;
 
-/// What was measured under load.
+/// What was measured under load, after the warm-up.
 struct LoadResult {
+    /// Requests that arrived, at least 1.
     requests: f64,
+    /// Total time that the engine spent on requests, counter replies and ends of attempts.
     request_seconds: f64,
     timer_seconds: f64,
     list_change_seconds: f64,
+    /// Endpoints that an attempt was sent to.
     endpoints_used: usize,
     counts: Counts,
 }
 
-/// Resident memory of this process at points of the run, in bytes.
+/// Resident memory of this process at several points of the run, in bytes.
 struct ResidentMemory {
     before_model: f64,
     with_model: f64,
@@ -35,17 +38,20 @@
     after_load: f64,
 }
 
-/// Makes one run.
+/// Runs one measurement and returns its report.
+///
+/// # Errors
+/// If the run takes longer than its time limit, or the memory of this process can't be read.
 pub fn measure(options: &Options) -> Result<Report, BenchError> {
-    let before_model = resident()?;
+    let before_model = resident_bytes()?;
     let mut model = Model::new(options);
-    let with_model = resident()?;
+    let with_model = resident_bytes()?;
     model.start_measuring();
     model.send_whole_list(EventKind::FirstList);
     model.stop_measuring();
-    let with_list = resident()?;
+    let with_list = resident_bytes()?;
     let load = measure_load(&mut model, options)?;
-    let after_load = resident()?;
+    let after_load = resident_bytes()?;
     measure_lists(&mut model, options)?;
 
     let memory = ResidentMemory { before_model, with_model, with_list, after_load };
@@ -57,7 +63,7 @@
     Ok(report)
 }
 
-/// Runs the load, without measuring it until the warm-up is over.
+/// Runs the load, and measures it from the end of the warm-up on.
 fn measure_load(model: &mut Model, options: &Options) -> Result<LoadResult, BenchError> {
     model.start_load();
     model.advance((options.warm_up_s * SECOND as f64) as Micros)?;
@@ -75,7 +81,7 @@
     })
 }
 
-/// Ends the load, then times list changes and whole lists.
+/// Ends the load, and then times list changes, unchanged whole lists and whole lists of new endpoints.
 fn measure_lists(model: &mut Model, options: &Options) -> Result<(), BenchError> {
     model.stop_measuring();
     model.stop_load();
@@ -157,7 +163,7 @@
     report.notes.extend(notes.map(String::from));
 }
 
-/// Resident memory of this process, in bytes.
-fn resident() -> Result<f64, BenchError> {
+/// Returns the resident memory of this process, in bytes.
+fn resident_bytes() -> Result<f64, BenchError> {
     Memory::own().map(|memory| memory.resident as f64)
 }
--- a/crates/scale-bench/src/decisions/model.rs
+++ b/crates/scale-bench/src/decisions/model.rs
@@ -1,4 +1,5 @@
-//! The workload: one node's decision engine, and all that it meets on a simulated clock.
+//! The workload: the decision engine of one node, and models of its clients, endpoints, counter service and
+//! discovery on a simulated clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -17,16 +18,16 @@
 use super::SECOND;
 use crate::error::BenchError;
 
-/// The clock at the start: late enough that endpoints can have started a day ago.
+/// Simulated time at the start: late enough that endpoints can have started a day before.
 const CLOCK_START: Micros = 100_000 * SECOND;
-/// The counter service replies, and a probe ends, after this time.
-const COUNTER_DELAY: Micros = 1_000;
-/// An endpoint's response takes this many times the mean response time.
+/// Time from a call to the counter service to its reply, and from the start of a probe to its end.
+const COUNTER_AND_PROBE_DELAY: Micros = 1_000;
+/// Range from which the ratio of an attempt's response time to the mean response time is drawn.
 const RESPONSE_TIME_SPREAD: std::ops::Range<f64> = 0.5..1.5;
-/// A request's class is drawn from these indices.
+/// Class indices from which a request's class is drawn, each entry with the same probability.
 const CLASS_MIX: [usize; 5] = [0, 0, 0, 1, 2];
 
-/// What happens next on the simulated clock.
+/// An event scheduled on the simulated clock.
 enum ModelEvent {
     RequestArrives,
     ListChanges,
@@ -39,7 +40,7 @@
 /// Counts of what happened while the model was measured.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Counts {
-    /// Requests that were answered.
+    /// Requests that got their response.
     pub answered: u64,
     /// Attempts that the node cancelled.
     pub cancelled: u64,
@@ -51,7 +52,7 @@
     pub rejected: u64,
 }
 
-/// The node and all that it meets.
+/// The node's decision engine with models of everything around it.
 pub struct Model<'a> {
     options: &'a Options,
     node_index: u32,
@@ -60,15 +61,18 @@
     stopwatch: Stopwatch,
     time_limit_at: Instant,
     now: Micros,
-    /// By time, and then in the order in which they were scheduled.
+    /// Scheduled events by their time and, at the same time, in the order in which they were scheduled.
     queue: BTreeMap<(Micros, u64), ModelEvent>,
+    /// Number of events scheduled so far.
     scheduled: u64,
-    /// Whether requests and list changes go on.
+    /// Whether new requests arrive and the list changes.
     under_load: bool,
     list: EndpointList,
+    /// Totals that the counter service holds.
     counter_totals: BTreeMap<CounterKey, f64>,
-    /// By pending request, its attempts so far.
+    /// Number of attempts so far, by pending request.
     attempts: BTreeMap<RequestId, u32>,
+    /// Number of requests that have arrived.
     requests: u64,
     /// Whether times and counts are recorded.
     measuring: bool,
@@ -78,7 +82,7 @@
 }
 
 impl<'a> Model<'a> {
-    /// Creates a node that knows no endpoint yet.
+    /// Creates a node that has not received an endpoint list yet.
     pub fn new(options: &'a Options) -> Self {
         let mut random = StdRng::seed_from_u64(options.seed);
         let drawn_index = random.random_range(0..options.nodes);
@@ -108,32 +112,32 @@
         }
     }
 
-    /// The index of the node.
+    /// Returns the index of the node within the fleet, from 0.
     pub fn node_index(&self) -> u32 {
         self.node_index
     }
 
-    /// Requests so far.
+    /// Returns the number of requests that have arrived since the start.
     pub fn requests(&self) -> u64 {
         self.requests
     }
 
-    /// Counts of what happened while the model was measured.
+    /// Returns the counts of what happened while the model was measured.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Endpoints that an attempt was sent to while the model was measured.
+    /// Returns the number of endpoints to which an attempt was sent while the model was measured.
     pub fn endpoints_used(&self) -> usize {
         self.endpoints_used.len()
     }
 
-    /// The times of events while the model was measured.
+    /// Returns the times of the events that were handled while the model was measured.
     pub fn timings(&self) -> &Timings {
         &self.timings
     }
 
-    /// Whether times are without what the thread waited for a processor.
+    /// Returns whether the times exclude the time for which the thread waited for a processor.
     pub fn times_exclude_waiting(&self) -> bool {
         self.stopwatch.excludes_waiting()
     }
@@ -148,7 +152,7 @@
         self.measuring = false;
     }
 
-    /// Starts requests and list changes.
+    /// Starts the arrival of requests and the list changes.
     pub fn start_load(&mut self) {
         self.under_load = true;
         self.schedule(0, ModelEvent::RequestArrives);
@@ -158,21 +162,21 @@
         }
     }
 
-    /// Ends requests and list changes; what is in flight goes on.
+    /// Ends the arrival of requests and the list changes. Requests in flight continue.
     pub fn stop_load(&mut self) {
         self.under_load = false;
     }
 
-    /// Lets simulated time pass.
+    /// Advances the simulated clock by `span` and processes all events that are due.
     ///
     /// # Errors
-    /// If the run has taken longer than its time limit.
+    /// If the run has taken longer than its time limit, in real time.
     pub fn advance(&mut self, span: Micros) -> Result<(), BenchError> {
         let until = self.now + span;
         while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= until) {
             let ((at, _), event) = entry.remove_entry();
             self.now = at;
-            self.happen(event);
+            self.process_event(event);
             if Instant::now() > self.time_limit_at {
                 let text = format!("the run took longer than --limit-s {}", self.options.limit_s);
                 return Err(BenchError::Argument(text));
@@ -182,20 +186,20 @@
         Ok(())
     }
 
-    /// Gives the node the list change that comes next.
+    /// Makes the next change of the list and notifies the node of it.
     pub fn change_list(&mut self) {
         let entries = vec![self.list.next_change(&mut self.random, self.now)];
         let event = Event::EndpointsUpdated { kind: EndpointUpdateKind::Delta, entries };
         self.handle_timed(EventKind::ListChange, event);
     }
 
-    /// Gives the node the whole list.
+    /// Sends the whole list to the node, and records its time under this kind.
     pub fn send_whole_list(&mut self, kind: EventKind) {
         let entries = self.list.entries().to_vec();
         self.handle_timed(kind, Event::EndpointsUpdated { kind: EndpointUpdateKind::Snapshot, entries });
     }
 
-    /// Replaces all endpoints; the node does not know it yet.
+    /// Replaces all endpoints without notifying the node.
     pub fn replace_list(&mut self) {
         self.list.replace_all(&mut self.random, self.now, self.options.servers);
     }
@@ -205,13 +209,13 @@
         self.queue.insert((self.now + after, self.scheduled), event);
     }
 
-    /// Draws the time to the next event of a Poisson process with `rate` events a second.
+    /// Draws the time to the next event of a Poisson process with a mean of `rate` events per second.
     fn draw_gap(&mut self, rate: f64) -> Micros {
         let drawn: f64 = self.random.random();
         (-(1.0 - drawn).ln() / rate * SECOND as f64) as Micros
     }
 
-    fn happen(&mut self, event: ModelEvent) {
+    fn process_event(&mut self, event: ModelEvent) {
         match event {
             ModelEvent::RequestArrives if self.under_load => {
                 let gap = self.draw_gap(self.options.rate);
@@ -235,7 +239,7 @@
             }
             ModelEvent::ProbeCompletes(endpoint) => {
                 let actions = self.handle(Event::ProbeCompleted { endpoint, outcome: Outcome::Ok }).actions;
-                self.perform_all(actions);
+                self.carry_out_all(actions);
             }
         }
     }
@@ -246,7 +250,7 @@
         let account = self.random.random_range(0..u64::from(self.options.customers));
         NewRequest {
             id: RequestId::from(format!("r{}", self.requests).as_str()),
-            // Accounts under a quota and those under none are different ones.
+            // Accounts with a quota have odd ids and accounts without one even ids, so they never overlap.
             account: AccountId(2 * account + u64::from(under_quota)),
             class: CLASS_MIX[self.random.random_range(0..CLASS_MIX.len())],
             plan: if under_quota { QUOTA_PLAN } else { UNLIMITED_PLAN },
@@ -282,7 +286,10 @@
         self.handle_timed(EventKind::AttemptEnd, Event::AttemptEnded(ended));
     }
 
-    /// Hands the node an event, records the time that it takes and carries out its actions.
+    /// Passes an event to the engine, records the time taken and carries out the returned actions.
+    ///
+    /// A request or counter reply that starts attempts also counts as a decision, with its time divided by
+    /// the number of attempts.
     fn handle_timed(&mut self, kind: EventKind, event: Event) {
         let handled = self.handle(event);
         if self.measuring {
@@ -293,23 +300,24 @@
                 self.timings.record(EventKind::Decision, handled.time / attempts);
             }
         }
-        self.perform_all(handled.actions);
+        self.carry_out_all(handled.actions);
     }
 
-    fn handle(&mut self, event: Event) -> Handled {
+    /// Passes an event to the engine and returns the time taken and the actions.
+    fn handle(&mut self, event: Event) -> HandledEvent {
         let mut actions = Vec::new();
         let started = self.stopwatch.start();
         self.engine.handle(self.now, event, &mut actions);
-        Handled { time: self.stopwatch.stop(started), actions }
+        HandledEvent { time: self.stopwatch.stop(started), actions }
     }
 
-    fn perform_all(&mut self, actions: Vec<Action>) {
+    fn carry_out_all(&mut self, actions: Vec<Action>) {
         for action in actions {
-            self.perform(action);
+            self.carry_out(action);
         }
     }
 
-    fn perform(&mut self, action: Action) {
+    fn carry_out(&mut self, action: Action) {
         match action {
             Action::StartAttempt { request, endpoint, .. } => self.start_attempt(request, endpoint),
             Action::Reject { request, .. } => {
@@ -329,13 +337,13 @@
                 let total = self.counter_totals.entry(key).or_default();
                 *total += amount;
                 let total = *total;
-                self.schedule(COUNTER_DELAY, ModelEvent::CounterReplies { key, total });
+                self.schedule(COUNTER_AND_PROBE_DELAY, ModelEvent::CounterReplies { key, total });
             }
             Action::SetTimer { id, after } => self.schedule(after, ModelEvent::TimerFires(id)),
             Action::ProbeEndpoint { endpoint } => {
-                self.schedule(COUNTER_DELAY, ModelEvent::ProbeCompletes(endpoint));
+                self.schedule(COUNTER_AND_PROBE_DELAY, ModelEvent::ProbeCompletes(endpoint));
             }
-            // The node gets the whole list at the start, and its changes as they happen.
+            // The run sends the whole list at the start and each change as it happens, without being asked.
             Action::FetchEndpoints | Action::WatchEndpoints => {}
         }
     }
@@ -361,7 +369,8 @@
         self.schedule(response_time as Micros, end);
     }
 
-    /// The attempt's response may still be scheduled; the node then knows that the attempt has ended.
+    /// Reports the attempt to the node as cancelled. Its response may still be in the queue; by the time that
+    /// it is reported, the node knows that the attempt has ended.
     fn cancel_attempt(&mut self, request: RequestId, number: u32) {
         let end = ModelEvent::AttemptEnds {
             request,
@@ -374,8 +383,9 @@
     }
 }
 
-/// What the engine made of an event.
-struct Handled {
+/// The result of passing an event to the engine.
+struct HandledEvent {
+    /// Time that the engine took.
     time: Duration,
     actions: Vec<Action>,
 }
--- a/crates/scale-bench/src/decisions/options.rs
+++ b/crates/scale-bench/src/decisions/options.rs
@@ -1,4 +1,4 @@
-//! The arguments of `decisions`: their bounds, and the command line of a run in another process.
+//! The arguments of `decisions`: their bounds, and the command line that runs them in another process.
 
 use std::path::PathBuf;
 
@@ -11,65 +11,66 @@
 /// Arguments of `decisions`. The fields are named after the options of the command line.
 #[derive(Args, Debug, Clone, Serialize)]
 pub struct Options {
-    /// App servers on the list
+    /// Number of app servers on the endpoint list
     #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u32).range(1..=200_000))]
     pub servers: u32,
-    /// Edge nodes of the fleet, as the settings tell
+    /// Number of edge nodes in the fleet according to the node's settings
     #[arg(long, default_value_t = 300, value_parser = clap::value_parser!(u32).range(1..=100_000))]
     pub nodes: u32,
-    /// This node's number; by default drawn from the seed
+    /// Index of the measured node, from 0; drawn from the seed by default
     #[arg(long)]
     pub me: Option<u32>,
-    /// Seed of the servers' numbers, the requests and their answers
+    /// Seed from which the server ids, the requests and the response times are drawn
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Requests a second
+    /// Mean number of requests per second
     #[arg(long, default_value_t = 130.0)]
     pub rate: f64,
-    /// Share of the requests that are under a quota
+    /// Share of requests whose customer has a quota, from 0 to 1
     #[arg(long, default_value_t = 0.5)]
     pub quota_share: f64,
-    /// Customers under a quota, and as many without one
+    /// Number of customers with a quota; the same number of customers have none
     #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u32).range(1..=1_000_000))]
     pub customers: u32,
-    /// Mean time of an app server's answer, in ms
+    /// Mean response time of an app server, in ms
     #[arg(long, default_value_t = 50.0)]
     pub answer_ms: f64,
-    /// List changes of one entry a second
+    /// Mean number of endpoint list changes per second, of one entry each
     #[arg(long, default_value_t = 0.6)]
     pub changes_per_s: f64,
-    /// Simulated seconds before anything is timed
+    /// Duration of the load before timing starts, in simulated seconds
     #[arg(long, default_value_t = 2.0)]
     pub warm_up_s: f64,
-    /// Simulated seconds that are timed
+    /// Duration of the timed load, in simulated seconds
     #[arg(long, default_value_t = 8.0)]
     pub run_s: f64,
-    /// Whole lists that are timed: so many unchanged, and so many that replace all servers
+    /// Number of whole lists that are timed without a change, and again with all servers replaced
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u32).range(1..=1_000))]
     pub whole_lists: u32,
-    /// A run that takes longer than this, in seconds, fails
+    /// Time limit of a run in real seconds; a run that takes longer fails
     #[arg(long, default_value_t = 300.0)]
     pub limit_s: f64,
-    /// Another build of this program, run alternately with this one; the ratio of the figures is told
+    /// Another build of this program, which is run alternately with this one to report the ratios of their
+    /// figures
     #[arg(long, value_name = "PROGRAM")]
     pub beside: Option<PathBuf>,
-    /// App servers of the other build's runs; by default the same
+    /// Number of app servers in the runs of the other build; the same as for this build by default
     #[arg(long, requires = "beside", value_parser = clap::value_parser!(u32).range(1..=200_000))]
     pub beside_servers: Option<u32>,
-    /// Edge nodes of the other build's runs; by default the same
+    /// Number of edge nodes in the runs of the other build; the same as for this build by default
     #[arg(long, requires = "beside", value_parser = clap::value_parser!(u32).range(1..=100_000))]
     pub beside_nodes: Option<u32>,
-    /// Rounds of both builds, with a seed each
+    /// Number of rounds in which both builds are compared, each with a seed of its own
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u32).range(3..=100))]
     pub rounds: u32,
-    /// Where the figures go.
+    /// Where the figures are written.
     #[command(flatten)]
     #[serde(skip)]
     pub output: Output,
 }
 
 impl Options {
-    /// Checks the bounds that the command line does not check.
+    /// Checks the bounds that the command-line parser does not check.
     ///
     /// # Errors
     /// If an argument is out of bounds.
@@ -89,7 +90,7 @@
         }
     }
 
-    /// The command line of one run in another process.
+    /// Returns the arguments of one run in another process, with its figures as JSON.
     pub fn command_line(&self, seed: u64, servers: u32, nodes: u32) -> Vec<String> {
         let mut line = vec!["decisions".to_string(), "--json".into()];
         let mut add = |name: &str, value: String| line.extend([format!("--{name}"), value]);
@@ -116,5 +117,5 @@
     if (least..=most).contains(&value) {
         return Ok(());
     }
-    Err(BenchError::Argument(format!("--{name} {value} is not within {least} to {most}")))
+    Err(BenchError::Argument(format!("--{name} {value} is out of bounds: expected {least} to {most}")))
 }
--- a/crates/scale-bench/src/decisions/settings.rs
+++ b/crates/scale-bench/src/decisions/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the node whose decisions are measured.
+//! The settings of the measured node.
 
 use edge_node::decision::{
     CounterSettings, DeduplicationScope, Idempotency, Limits, Micros, Plan, RequestClass, Settings, WarmUp,
@@ -12,12 +12,12 @@
 pub const UNLIMITED_PLAN: usize = 0;
 /// Index of the plan with a quota.
 pub const QUOTA_PLAN: usize = 1;
-/// The most units that one request uses.
+/// Largest number of units that one request uses.
 pub const MAX_UNITS: u8 = 3;
-/// How long a client waits in all, over its retries.
+/// How long a client waits for a response in total, including retries.
 pub const TOTAL_TIMEOUT: Micros = 2 * SECOND;
 
-/// The settings of this node.
+/// Returns the settings of the node with this index.
 pub fn node_settings(options: &Options, node_index: u32) -> Settings {
     Settings {
         node_index,
@@ -64,10 +64,11 @@
     }
 }
 
-/// By index [`UNLIMITED_PLAN`] and [`QUOTA_PLAN`].
+/// Returns the plans at the indices [`UNLIMITED_PLAN`] and [`QUOTA_PLAN`].
 fn plans(options: &Options) -> Vec<Plan> {
     let unlimited = Plan { weight_factor: 1.0, ..Plan::default() };
-    // Most accounts stay within their quota: it is three times what one requests at its two nodes.
+    // The quota, in units per second, is three times an account's requests per second over its two nodes, so
+    // that most accounts stay within it.
     let quota_rate = 6.0 * options.rate * options.quota_share / f64::from(options.customers);
     let quota = Plan {
         quota_units_per_second: quota_rate,
--- a/crates/scale-bench/src/decisions/timing.rs
+++ b/crates/scale-bench/src/decisions/timing.rs
@@ -1,26 +1,27 @@
-//! Times the engine's handling of events, by kind of event.
+//! Measures how long the engine takes to handle events, by kind of event.
 
 use std::collections::BTreeMap;
 use std::fs::File;
 use std::os::unix::fs::FileExt;
 use std::time::{Duration, Instant};
 
-/// A kind of event that is timed by itself.
+/// A kind of event whose times are reported separately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EventKind {
-    /// The first endpoint list.
+    /// The first endpoint list, which the node receives whole.
     FirstList,
-    /// A request.
+    /// The arrival of a request.
     Request,
-    /// A request, or the counter's reply to it, that started an attempt: here an endpoint is selected.
+    /// A request, or the counter service's reply to it, that started an attempt, and thus selected an
+    /// endpoint.
     Decision,
     /// A reply of the counter service.
     CounterReply,
     /// The end of an attempt.
     AttemptEnd,
-    /// A timer.
+    /// A timer that fires.
     Timer,
-    /// A list change of one entry.
+    /// A change of one entry of the endpoint list.
     ListChange,
     /// A whole list in which nothing changed.
     SameList,
@@ -29,7 +30,7 @@
 }
 
 impl EventKind {
-    /// All kinds, in the order of the report.
+    /// All kinds, in the order in which they are reported.
     pub const ALL: [EventKind; 9] = [
         EventKind::FirstList,
         EventKind::Request,
@@ -42,7 +43,7 @@
         EventKind::OtherList,
     ];
 
-    /// The name of its figures.
+    /// Returns the prefix of the names of this kind's figures.
     pub fn figure_name(self) -> &'static str {
         match self {
             EventKind::FirstList => "first_list",
@@ -58,28 +59,29 @@
     }
 }
 
-/// Measures the time that this thread runs, without what it waits for a processor.
+/// Measures the time for which a thread runs, excluding the time for which it waits for a processor.
 ///
-/// A machine that runs other work stops a thread for milliseconds, many times what an event takes, and the means
-/// would describe the machine alone.
+/// A machine that also runs other work can suspend a thread for milliseconds, many times longer than an event
+/// takes. Means that include these waits would describe the machine and not the engine.
 pub struct Stopwatch {
-    /// Where the kernel reports how long the thread has waited; `None` if it does not.
+    /// File in which the kernel reports how long the thread has waited; `None` if the kernel doesn't have it.
     schedstat: Option<File>,
 }
 
-/// A measurement that was started.
+/// A measurement that has been started.
 pub struct StartedStopwatch {
+    /// Total wait of the thread before the start; `None` if it is unknown.
     waited_before: Option<Duration>,
     started_at: Instant,
 }
 
 impl Stopwatch {
-    /// Creates a stopwatch for the thread that calls this.
+    /// Creates a stopwatch for the calling thread.
     pub fn for_this_thread() -> Self {
         Stopwatch { schedstat: File::open("/proc/thread-self/schedstat").ok() }
     }
 
-    /// Whether the time waited for a processor is known.
+    /// Returns whether the kernel reports the time waited for a processor. If not, measurements include it.
     pub fn excludes_waiting(&self) -> bool {
         self.waited().is_some()
     }
@@ -90,13 +92,14 @@
         StartedStopwatch { waited_before, started_at: Instant::now() }
     }
 
-    /// Ends a measurement.
+    /// Ends a measurement and returns the measured time.
     pub fn stop(&self, started: StartedStopwatch) -> Duration {
         let elapsed = started.started_at.elapsed();
         let Some(waited_before) = started.waited_before else { return elapsed };
         let Some(waited_after) = self.waited() else { return elapsed };
         let waited = waited_after.saturating_sub(waited_before);
-        // A wait as long as the whole measurement was between the readings of the two clocks, not in it.
+        // A wait that is not shorter than the measurement fell between the readings of the two clocks,
+        // outside of the measurement, so it is not subtracted.
         if waited < elapsed {
             elapsed - waited
         } else {
@@ -104,7 +107,7 @@
         }
     }
 
-    /// How long the thread has waited for a processor since it started.
+    /// Returns how long the thread has waited for a processor since it started; `None` if that is unknown.
     fn waited(&self) -> Option<Duration> {
         let mut text = [0; 96];
         let length = self.schedstat.as_ref()?.read_at(&mut text, 0).ok()?;
@@ -120,32 +123,32 @@
 }
 
 impl Timings {
-    /// Adds the time of an event.
+    /// Records the time that an event took.
     pub fn record(&mut self, kind: EventKind, time: Duration) {
         self.by_kind.entry(kind).or_default().push(time);
     }
 
-    /// The times of one kind of event in short.
+    /// Returns the summary of the times of one kind of event.
     pub fn summary(&self, kind: EventKind) -> TimeSummary {
         TimeSummary::of(self.by_kind.get(&kind).map_or(&[], Vec::as_slice))
     }
 
-    /// The time of all events of these kinds, in seconds.
+    /// Returns the total time of all events of these kinds, in seconds.
     pub fn total_seconds(&self, kinds: &[EventKind]) -> f64 {
         let times = kinds.iter().filter_map(|kind| self.by_kind.get(kind)).flatten();
         times.sum::<Duration>().as_secs_f64()
     }
 }
 
-/// Times of one kind of event, in microseconds.
+/// Summary of the times of one kind of event, in microseconds; all zero if there were no events.
 pub struct TimeSummary {
-    /// How many events there were.
+    /// Number of events.
     pub count: usize,
-    /// Median.
+    /// Median, in microseconds.
     pub p50: f64,
-    /// 99th percentile.
+    /// 99th percentile, in microseconds.
     pub p99: f64,
-    /// Mean.
+    /// Mean, in microseconds.
     pub mean: f64,
 }
 
@@ -162,7 +165,8 @@
     }
 }
 
-/// The smallest of the sorted values that at least this share of them does not exceed; 0 if there are none.
+/// Returns the smallest of the sorted values for which at least this share of the values is not larger; 0 if
+/// there are no values.
 fn quantile(sorted: &[f64], share: f64) -> f64 {
     let rank = (share * sorted.len() as f64).ceil().max(1.0) as usize;
     sorted.get(rank - 1).copied().unwrap_or(0.0)
--- a/crates/scale-bench/src/slopes.rs
+++ b/crates/scale-bench/src/slopes.rs
@@ -1,4 +1,5 @@
-//! A ladder of sizes, and how each figure grows along it.
+//! The subcommand `slopes`: runs another subcommand at several sizes of the fleet (the ladder) and fits how
+//! each figure grows with the size.
 
 pub mod child;
 pub mod fit;
@@ -11,9 +12,9 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-pub use ladder::{AtSize, Growth, Ladder, Run};
-pub use options::{Options, Subject};
-pub use size::{Against, Size};
+pub use ladder::{FigureAtSize, Growth, Ladder, Run};
+pub use options::{MeasuredCommand, Options};
+pub use size::{Size, SizeDimension};
 
 use crate::error::BenchError;
 use crate::report::print_result;
@@ -21,12 +22,15 @@
 /// Runs the ladder and prints how its figures grow.
 ///
 /// # Errors
-/// If the arguments make no sense together, a run failed, or the result can't be written.
+/// If the arguments are invalid or contradict each other, a run has failed, or the result can't be written.
+/// The result is printed before an error about failed runs is returned.
 pub fn run(options: Options) -> Result<(), BenchError> {
     let sizes = options.check()?;
-    let program = program(&options)?;
-    let arguments = serde_json::to_value(&options)
-        .map_err(|error| BenchError::System { what: "cannot tell the arguments", source: error.into() })?;
+    let program = measured_program(&options)?;
+    let arguments = serde_json::to_value(&options).map_err(|error| BenchError::System {
+        what: "cannot serialize the arguments",
+        source: error.into(),
+    })?;
     let runs = run_all(&options, &program, &sizes);
     let figures = growth::growth_of_figures(&sizes, &runs, options.against);
     let ladder = Ladder { arguments, sizes, runs, figures };
@@ -38,7 +42,8 @@
     Ok(())
 }
 
-fn program(options: &Options) -> Result<PathBuf, BenchError> {
+/// Returns the program to run: the one given by `--program`, or else this one.
+fn measured_program(options: &Options) -> Result<PathBuf, BenchError> {
     match &options.program {
         Some(program) => Ok(program.clone()),
         None => std::env::current_exe()
@@ -46,7 +51,8 @@
     }
 }
 
-/// Runs all sizes with one seed, then with the next one, so that changes of the machine's load affect all sizes.
+/// Runs all sizes with one seed, and then all sizes with the next seed, so that a change of the machine's
+/// load affects all sizes alike.
 fn run_all(options: &Options, program: &Path, sizes: &[Size]) -> Vec<Run> {
     let time_limit_at = Instant::now() + Duration::from_secs_f64(options.limit_s);
     let mut runs = Vec::new();
--- a/crates/scale-bench/src/slopes/child.rs
+++ b/crates/scale-bench/src/slopes/child.rs
@@ -1,4 +1,4 @@
-//! A run in a process of its own.
+//! Runs a measurement in a process of its own and reads its report.
 
 use std::ffi::OsStr;
 use std::fmt::Display;
@@ -10,32 +10,34 @@
 
 use crate::report::Report;
 
-/// Pause between checks whether a child has ended.
+/// Pause between two checks of whether a child has ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The most that is read of a child's output, in bytes.
-const MAX_OUTPUT: u64 = 16 << 20;
+/// Maximum length of a child's output that is read, in bytes.
+const MAX_OUTPUT_BYTES: u64 = 16 << 20;
 
-/// A child that is killed when dropped.
+/// A child process that is killed when this value is dropped.
 struct OwnedChild(Child);
 
 impl Drop for OwnedChild {
     fn drop(&mut self) {
-        // It may have ended already: then there is nothing to kill and nothing to wait for.
+        // Errors are ignored: a child that has already ended needs neither to be killed nor to be waited for.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// Where a child writes. Files, because a pipe that nobody reads fills and stops the child.
+/// Files that receive a child's output. They are not pipes, because a pipe that nobody reads fills up and
+/// blocks the child.
 struct OutputFiles {
     stdout: File,
     stderr: File,
 }
 
-/// Runs the program to its end and reads its report.
+/// Runs the program until it ends and returns its report. A program that still runs at `time_limit_at` is
+/// killed.
 ///
 /// # Errors
-/// If there is no report: why, in one line.
+/// If the program yields no report; the error is the reason, in one line.
 pub fn run(
     program: &Path,
     arguments: &[impl AsRef<OsStr>],
@@ -43,21 +45,23 @@
 ) -> Result<Report, String> {
     let name = program.display();
     let failed = |what: &str, error: &dyn Display| format!("{name}: {what}: {error}");
-    let mut files = OutputFiles::create().map_err(|error| failed("no file for its output", &error))?;
+    let mut files =
+        OutputFiles::create().map_err(|error| failed("cannot create files for its output", &error))?;
     let mut command = Command::new(program);
     command.args(arguments).stdin(Stdio::null());
-    files.attach(&mut command).map_err(|error| failed("no file for its output", &error))?;
+    files.attach(&mut command).map_err(|error| failed("cannot redirect its output", &error))?;
     let mut child = OwnedChild(command.spawn().map_err(|error| failed("cannot be run", &error))?);
-    let ended = wait_until(&mut child, time_limit_at);
-    let status = ended.map_err(|error| failed("cannot be waited for", &error))?;
+    let wait_result = wait_until(&mut child, time_limit_at);
+    let status = wait_result.map_err(|error| failed("cannot be waited for", &error))?;
     let Some(status) = status else { return Err(format!("{name}: ended by the time limit")) };
     if !status.success() {
-        let error_output = read_back(&mut files.stderr).unwrap_or_default();
+        let error_output = read_from_start(&mut files.stderr).unwrap_or_default();
         let last_line = error_output.lines().rev().find(|line| !line.trim().is_empty());
-        return Err(format!("{name}: {status}: {}", last_line.unwrap_or("no word")));
+        return Err(format!("{name}: {status}: {}", last_line.unwrap_or("no error output")));
     }
-    let output = read_back(&mut files.stdout).map_err(|error| failed("its output", &error))?;
-    serde_json::from_str(&output).map_err(|error| failed("its output is no report", &error))
+    let output =
+        read_from_start(&mut files.stdout).map_err(|error| failed("cannot read its output", &error))?;
+    serde_json::from_str(&output).map_err(|error| failed("its output is not a report", &error))
 }
 
 impl OutputFiles {
@@ -72,7 +76,8 @@
     }
 }
 
-/// Waits for the child's end; `None` if it has not ended by then.
+/// Waits until the child ends and returns its exit status. Returns `None` if it still runs at
+/// `time_limit_at`.
 fn wait_until(child: &mut OwnedChild, time_limit_at: Instant) -> io::Result<Option<ExitStatus>> {
     loop {
         if let Some(status) = child.0.try_wait()? {
@@ -85,9 +90,10 @@
     }
 }
 
-fn read_back(file: &mut File) -> io::Result<String> {
+/// Returns the text of a file from its start, at most [`MAX_OUTPUT_BYTES`] bytes.
+fn read_from_start(file: &mut File) -> io::Result<String> {
     let mut text = String::new();
     file.rewind()?;
-    file.take(MAX_OUTPUT).read_to_string(&mut text)?;
+    file.take(MAX_OUTPUT_BYTES).read_to_string(&mut text)?;
     Ok(text)
 }
--- a/crates/scale-bench/src/slopes/fit.rs
+++ b/crates/scale-bench/src/slopes/fit.rs
@@ -1,55 +1,58 @@
-//! How a figure grows along a ladder: its slope, and the exponent of its growth, by least squares.
+//! Fits the growth of a figure over the sizes of a ladder by least squares: its slope and the exponent of its
+//! growth.
 
 use serde::{Deserialize, Serialize};
 
-/// A fitted value and its spread over the runs.
+/// A fitted value and its spread over the runs of the ladder.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Fitted {
-    /// Fitted to the points of all runs.
+    /// The value fitted to the points of all runs together.
     pub value: f64,
-    /// The least that one run alone gives.
+    /// The smallest of `value` and the values fitted to each run alone.
     pub least: f64,
-    /// The most that one run alone gives.
+    /// The largest of `value` and the values fitted to each run alone.
     pub most: f64,
 }
 
 /// One measured value of a figure.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Point {
-    /// Which run of the ladder, from 0.
+    /// Index of the run at this size, from 0.
     pub run: u32,
-    /// The size that growth is measured against.
+    /// The size: a number of app servers or of edge nodes.
     pub size: f64,
-    /// The figure's value.
+    /// The figure's value, in its unit.
     pub value: f64,
 }
 
-/// Why a figure has no exponent.
+/// The reason why a figure has no exponent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NoExponent {
-    /// It is zero or negative somewhere, and has no logarithm there.
+    /// The figure is zero or negative in at least one point, where it has no logarithm.
     NotPositive,
-    /// It was measured at one size alone.
+    /// The figure was measured at fewer than two sizes.
     OneSize,
 }
 
-/// A point in the plane in which a line is fitted.
+/// A point in the plane to which a line is fitted.
 #[derive(Clone, Copy)]
 struct Coordinates {
     x: f64,
     y: f64,
 }
 
-/// The figure's slope, in its unit per endpoint or node; none if it was measured at one size alone.
+/// Returns the figure's slope, in its unit per app server or edge node. Returns `None` if it was measured at
+/// fewer than two sizes.
 pub fn slope(points: &[Point]) -> Option<Fitted> {
     fit_with_spread(points, |point| Coordinates { x: point.size, y: point.value })
 }
 
-/// The exponent `b` of `value = a * size^b`: 0 does not grow, 1 grows as the fleet does.
+/// Returns the exponent `b` of `value = a * size^b`. At 0 the figure is constant, at 1 it grows in proportion
+/// to the size.
 ///
 /// # Errors
-/// If the points have none.
+/// If a value is not positive, or the figure was measured at fewer than two sizes.
 pub fn exponent(points: &[Point]) -> Result<Fitted, NoExponent> {
     if points.iter().any(|point| point.value <= 0.0) {
         return Err(NoExponent::NotPositive);
@@ -58,10 +61,11 @@
     fit_with_spread(points, logarithms).ok_or(NoExponent::OneSize)
 }
 
-/// Fits a line through all points, and one through the points of each run.
+/// Fits a line to all points, and one to the points of each run alone. Returns the slopes, or `None` if the
+/// points have fewer than two sizes.
 fn fit_with_spread(points: &[Point], coordinates: impl Fn(&Point) -> Coordinates) -> Option<Fitted> {
     let all: Vec<Coordinates> = points.iter().map(&coordinates).collect();
-    let value = steepness(&all)?;
+    let value = line_slope(&all)?;
     let mut runs: Vec<u32> = points.iter().map(|point| point.run).collect();
     runs.sort_unstable();
     runs.dedup();
@@ -69,8 +73,8 @@
     for run in runs {
         let of_run = points.iter().filter(|point| point.run == run);
         let of_run: Vec<Coordinates> = of_run.map(&coordinates).collect();
-        // A run of which only one size is left has no steepness of its own.
-        if let Some(alone) = steepness(&of_run) {
+        // If all but one size of a run failed, no line can be fitted to this run.
+        if let Some(alone) = line_slope(&of_run) {
             fitted.least = fitted.least.min(alone);
             fitted.most = fitted.most.max(alone);
         }
@@ -78,8 +82,8 @@
     Some(fitted)
 }
 
-/// The steepness of the line with the least squares through the points.
-fn steepness(points: &[Coordinates]) -> Option<f64> {
+/// Returns the slope of the least-squares line through the points; `None` if all have the same `x`.
+fn line_slope(points: &[Coordinates]) -> Option<f64> {
     let count = points.len() as f64;
     let mut mean = Coordinates { x: 0.0, y: 0.0 };
     for point in points {
@@ -92,6 +96,6 @@
         square += (point.x - mean.x).powi(2);
         product += (point.x - mean.x) * (point.y - mean.y);
     }
-    // Sizes are whole numbers, so any two that differ are far apart compared with rounding errors.
-    (square > 1e-9).then(|| product / square).filter(|steepness| steepness.is_finite())
+    // Sizes are whole numbers, so two different sizes differ by far more than rounding errors.
+    (square > 1e-9).then(|| product / square).filter(|slope| slope.is_finite())
 }
--- a/crates/scale-bench/src/slopes/growth.rs
+++ b/crates/scale-bench/src/slopes/growth.rs
@@ -1,10 +1,10 @@
-//! Collects the values of each figure over the runs of a ladder and fits their growth.
+//! Collects the values of each figure from the runs of a ladder and fits their growth.
 
 use std::collections::BTreeMap;
 
 use super::fit::{self, Point};
-use super::ladder::{AtSize, Growth, Run};
-use super::size::{Against, Size};
+use super::ladder::{FigureAtSize, Growth, Run};
+use super::size::{Size, SizeDimension};
 
 /// The values of one figure over all runs.
 struct Series<'a> {
@@ -13,22 +13,24 @@
     values: Vec<SizedPoint>,
 }
 
+/// A value of a figure with the whole size at which it was measured.
 struct SizedPoint {
     size: Size,
     point: Point,
 }
 
-/// How each figure grows, in the order in which the runs report them.
-pub fn growth_of_figures(sizes: &[Size], runs: &[Run], against: Against) -> Vec<Growth> {
+/// Returns the growth of each figure, in the order in which the runs first report them.
+pub fn growth_of_figures(sizes: &[Size], runs: &[Run], against: SizeDimension) -> Vec<Growth> {
     let series = collect_series(runs, against);
     series.iter().map(|series| series.growth(sizes)).collect()
 }
 
-fn collect_series(runs: &[Run], against: Against) -> Vec<Series<'_>> {
+/// Returns the values of each figure from all runs that have a report.
+fn collect_series(runs: &[Run], against: SizeDimension) -> Vec<Series<'_>> {
     let mut all: Vec<Series> = Vec::new();
     let mut index_by_name: BTreeMap<&str, usize> = BTreeMap::new();
     for run in runs {
-        let size = f64::from(run.size.against(against));
+        let size = f64::from(run.size.along(against));
         for figure in run.report.iter().flat_map(|report| &report.figures) {
             let index = *index_by_name.entry(&figure.name).or_insert_with(|| {
                 all.push(Series { name: &figure.name, unit: &figure.unit, values: Vec::new() });
@@ -55,13 +57,14 @@
         }
     }
 
-    fn at_size(&self, size: Size) -> Option<AtSize> {
+    /// Returns the summary of the values at this size; `None` if there are none.
+    fn at_size(&self, size: Size) -> Option<FigureAtSize> {
         let here = self.values.iter().filter(|value| value.size == size);
         let values: Vec<f64> = here.map(|value| value.point.value).collect();
         if values.is_empty() {
             return None;
         }
-        Some(AtSize {
+        Some(FigureAtSize {
             size,
             mean: values.iter().sum::<f64>() / values.len() as f64,
             least: values.iter().copied().fold(f64::INFINITY, f64::min),
--- a/crates/scale-bench/src/slopes/ladder.rs
+++ b/crates/scale-bench/src/slopes/ladder.rs
@@ -1,4 +1,4 @@
-//! The result of a ladder, as its JSON has it.
+//! The result of a ladder, in the form of its JSON.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,57 +9,58 @@
 /// One run of the ladder.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Run {
-    /// Its size.
+    /// The size of the fleet.
     pub size: Size,
-    /// Which run at this size, from 0.
+    /// Index of the run at this size, from 0.
     pub run: u32,
-    /// Its seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// What it measured; none if it failed.
+    /// The report of the run; `None` if the run failed.
     pub report: Option<Report>,
-    /// Why it failed, in one line.
+    /// Why the run failed, in one line; `None` if it succeeded.
     pub failure: Option<String>,
 }
 
-/// A figure at one size.
+/// Summary of a figure's values at one size.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct AtSize {
-    /// The size.
+pub struct FigureAtSize {
+    /// The size of the fleet.
     pub size: Size,
-    /// Mean over the runs.
+    /// Mean over the runs, in the figure's unit.
     pub mean: f64,
-    /// The least of them.
+    /// Smallest value of a run, in the figure's unit.
     pub least: f64,
-    /// The most of them.
+    /// Largest value of a run, in the figure's unit.
     pub most: f64,
 }
 
-/// How one figure grows.
+/// The growth of one figure over the sizes of a ladder.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Growth {
     /// The figure's name.
     pub name: String,
-    /// Its unit.
+    /// The figure's unit.
     pub unit: String,
-    /// Its values at the sizes where it was measured.
-    pub sizes: Vec<AtSize>,
-    /// Its slope, in its unit per endpoint or node.
+    /// The figure's values at each size at which it was measured.
+    pub sizes: Vec<FigureAtSize>,
+    /// The figure's slope, in its unit per app server or edge node; `None` if it was measured at fewer than
+    /// two sizes.
     pub slope: Option<Fitted>,
-    /// The exponent of its growth.
+    /// The exponent of the figure's growth; `None` if it has none.
     pub exponent: Option<Fitted>,
-    /// Why it has none.
+    /// Why the figure has no exponent; `None` if it has one.
     pub no_exponent: Option<NoExponent>,
 }
 
-/// A whole ladder.
+/// A ladder: its runs at all sizes and the growth of their figures.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Ladder {
-    /// All arguments as given or defaulted, so that it can be made again.
+    /// All arguments with their given or default values, so that the ladder can be repeated.
     pub arguments: serde_json::Value,
-    /// The sizes, in their order.
+    /// The sizes, in the order of `--sizes`.
     pub sizes: Vec<Size>,
-    /// Every run with its figures.
+    /// All runs, including those that failed, in the order in which they were made.
     pub runs: Vec<Run>,
-    /// How the figures grow.
+    /// The growth of each figure.
     pub figures: Vec<Growth>,
 }
--- a/crates/scale-bench/src/slopes/options.rs
+++ b/crates/scale-bench/src/slopes/options.rs
@@ -1,90 +1,99 @@
-//! The arguments of `slopes`: their bounds, and the command line of each run.
+//! The arguments of `slopes`: their bounds, and the arguments of each run.
 
 use std::path::PathBuf;
 
 use clap::{Args, ValueEnum};
 use serde::{Deserialize, Serialize};
 
-use super::size::{Against, Size};
+use super::size::{Size, SizeDimension};
 use crate::error::BenchError;
 use crate::report::Output;
 
-/// The most sizes of a ladder.
+/// Maximum number of sizes in a ladder.
 const MAX_SIZES: usize = 20;
-/// Arguments that the ladder sets itself.
+/// Arguments that the ladder sets for its runs, so that the user may not set them.
 const RESERVED_ARGUMENTS: [&str; 5] = ["--servers", "--nodes", "--seed", "--json", "--out"];
 
 /// Arguments of `slopes`. The fields are named after the options of the command line.
 #[derive(Args, Debug, Clone, Serialize)]
 pub struct Options {
-    /// What is run at each size
+    /// Subcommand that is run at each size
     #[arg(value_enum)]
-    pub command: Subject,
-    /// Sizes as app servers/edge nodes, two or more
+    pub command: MeasuredCommand,
+    /// Two or more sizes, each as number of app servers/number of edge nodes
     #[arg(long, value_name = "SERVERS/NODES,...", default_value = "200/300,4600/570,46000/5700")]
     pub sizes: String,
-    /// Runs at each size, with a seed each
+    /// Number of runs at each size, each with a seed of its own
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u32).range(1..=20))]
     pub runs: u32,
-    /// The first run's seed
+    /// Seed of the first run; each further run takes the next number
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// What growth is told against
-    #[arg(long, value_enum, default_value_t = Against::Servers)]
-    pub against: Against,
-    /// The whole ladder ends after this, in seconds; runs that are not done by then have failed
+    /// Whether growth is reported against the number of app servers or of edge nodes
+    #[arg(long, value_enum, default_value_t = SizeDimension::Servers)]
+    pub against: SizeDimension,
+    /// Time limit of the whole ladder in seconds; runs that have not ended by then fail
     #[arg(long, default_value_t = 1_800.0)]
     pub limit_s: f64,
-    /// Another build of this program that is run in place of this one
+    /// Another build of this program, which is run instead of this one
     #[arg(long, value_name = "PROGRAM")]
     pub program: Option<PathBuf>,
-    /// Further arguments of the runs
+    /// Further arguments that are passed to each run
     #[arg(last = true)]
     pub args: Vec<String>,
-    /// Where the figures go.
+    /// Where the figures are written.
     #[command(flatten)]
     #[serde(skip)]
     pub output: Output,
 }
 
-/// The subcommand that a ladder runs.
+/// The subcommand that a ladder runs at each size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Subject {
-    /// The decision module alone
+pub enum MeasuredCommand {
+    /// The decision engine alone
     Decisions,
     /// One real edge node process
     Node,
-    /// Many decision modules on one clock
+    /// Many hollow nodes on one simulated clock
     Fleet,
 }
 
 impl Options {
-    /// Checks the arguments and returns the sizes.
+    /// Checks the arguments and returns the sizes, at least two.
     ///
     /// # Errors
-    /// If an argument is out of bounds, reserved or unreadable, or all sizes are the same.
+    /// If an argument is out of bounds, reserved or malformed, or all sizes have the same number of servers
+    /// or nodes, as selected by `--against`.
     pub fn check(&self) -> Result<Vec<Size>, BenchError> {
         if !(0.1..=14_400.0).contains(&self.limit_s) {
-            return refuse(format!("--limit-s {} is not within 0.1 to 14400", self.limit_s));
+            return argument_error(format!(
+                "--limit-s {} is out of bounds: expected 0.1 to 14400",
+                self.limit_s
+            ));
         }
         if let Some(argument) = self.args.iter().find(|argument| is_reserved(argument)) {
-            return refuse(format!("{argument} is set by the ladder itself"));
+            return argument_error(format!(
+                "{argument} is set by the ladder and cannot be passed to its runs"
+            ));
         }
         let sizes = parse_sizes(&self.sizes)?;
-        let first = sizes[0].against(self.against);
-        if sizes.iter().all(|size| size.against(self.against) == first) {
-            return refuse(format!("--sizes {} has one size alone, and nothing grows", self.sizes));
+        let first = sizes[0].along(self.against);
+        if sizes.iter().all(|size| size.along(self.against) == first) {
+            return argument_error(format!(
+                "--sizes {} has one size alone: growth needs two different sizes",
+                self.sizes
+            ));
         }
         Ok(sizes)
     }
 
-    /// The command line of one run.
+    /// Returns the arguments of one run.
     pub fn command_line(&self, size: Size, seed: u64) -> Vec<String> {
         let command = match self.command {
-            Subject::Decisions => "decisions",
-            Subject::Node => "node",
-            Subject::Fleet => "fleet",
+            MeasuredCommand::Decisions => "decisions",
+            MeasuredCommand::Node => "node",
+            MeasuredCommand::Fleet => "fleet",
         };
         let mut line = vec![command.to_string(), "--json".into()];
         line.extend(["--servers".into(), size.servers.to_string()]);
@@ -95,7 +104,7 @@
     }
 }
 
-fn refuse<T>(reason: String) -> Result<T, BenchError> {
+fn argument_error<T>(reason: String) -> Result<T, BenchError> {
     Err(BenchError::Argument(reason))
 }
 
@@ -104,17 +113,20 @@
     RESERVED_ARGUMENTS.contains(&name)
 }
 
-/// Reads the sizes of `--sizes`: at least one.
+/// Parses the value of `--sizes`, which has at least one size.
 fn parse_sizes(text: &str) -> Result<Vec<Size>, BenchError> {
     let mut sizes = Vec::new();
     for word in text.split(',') {
         let Some(size) = parse_size(word) else {
-            return refuse(format!("--sizes: {word:?} is not servers/nodes, such as 200/300"));
+            return argument_error(format!("--sizes: expected servers/nodes such as 200/300, got {word:?}"));
         };
         sizes.push(size);
     }
     if sizes.len() > MAX_SIZES {
-        return refuse(format!("--sizes has {}, over the {MAX_SIZES} allowed", sizes.len()));
+        return argument_error(format!(
+            "--sizes has {} sizes, but at most {MAX_SIZES} are allowed",
+            sizes.len()
+        ));
     }
     Ok(sizes)
 }
--- a/crates/scale-bench/src/slopes/size.rs
+++ b/crates/scale-bench/src/slopes/size.rs
@@ -1,33 +1,33 @@
-//! The sizes of a ladder, and which number of a size growth is told against.
+//! The sizes of a ladder, and the dimension of a size against which growth is reported.
 
 use clap::ValueEnum;
 use serde::{Deserialize, Serialize};
 
-/// What growth is told against.
+/// The dimension of a size against which growth is reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Against {
-    /// App servers
+pub enum SizeDimension {
+    /// Number of app servers
     Servers,
-    /// Edge nodes
+    /// Number of edge nodes
     Nodes,
 }
 
 /// A size of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Size {
-    /// Endpoints (app servers).
+    /// Number of endpoints (app servers).
     pub servers: u32,
-    /// Edge nodes.
+    /// Number of edge nodes.
     pub nodes: u32,
 }
 
 impl Size {
-    /// The number that growth is measured against.
-    pub fn against(self, against: Against) -> u32 {
-        match against {
-            Against::Servers => self.servers,
-            Against::Nodes => self.nodes,
+    /// Returns the size in this dimension.
+    pub fn along(self, dimension: SizeDimension) -> u32 {
+        match dimension {
+            SizeDimension::Servers => self.servers,
+            SizeDimension::Nodes => self.nodes,
         }
     }
 }
--- a/crates/scale-bench/src/slopes/table.rs
+++ b/crates/scale-bench/src/slopes/table.rs
@@ -1,18 +1,18 @@
-//! Writes a ladder as a table for people.
+//! Formats the result of a ladder as a text table.
 
 use super::fit::{Fitted, NoExponent};
 use super::ladder::{Growth, Ladder};
-use super::size::Against;
+use super::size::SizeDimension;
 
-/// The table: each figure with its growth and its values by size, then the runs that failed.
-pub fn table(ladder: &Ladder, against: Against) -> String {
+/// Returns the table: each figure with its growth and its values at each size, and then the runs that failed.
+pub fn table(ladder: &Ladder, against: SizeDimension) -> String {
     let mut text = format!("slopes {}\n", ladder.arguments);
     for figure in &ladder.figures {
         text += &growth_line(figure, against);
         for at_size in &figure.sizes {
             let size = format!("{}/{}", at_size.size.servers, at_size.size.nodes);
-            let spread = format!("({}..{})", short(at_size.least), short(at_size.most));
-            text += &format!("  {size:>14}  {:>10}  {spread}\n", short(at_size.mean));
+            let spread = format!("({}..{})", format_number(at_size.least), format_number(at_size.most));
+            text += &format!("  {size:>14}  {:>10}  {spread}\n", format_number(at_size.mean));
         }
     }
     for run in &ladder.runs {
@@ -24,31 +24,36 @@
     text
 }
 
-fn growth_line(figure: &Growth, against: Against) -> String {
+fn growth_line(figure: &Growth, against: SizeDimension) -> String {
     let exponent = match (&figure.exponent, figure.no_exponent) {
-        (Some(exponent), _) => format!("exponent {}", with_spread(exponent)),
+        (Some(exponent), _) => format!("exponent {}", format_fitted(exponent)),
         (None, Some(NoExponent::OneSize)) => "no exponent: measured at one size alone".into(),
         (None, _) => "no exponent: zero or negative somewhere".into(),
     };
     let slope = match &figure.slope {
-        Some(slope) => format!("slope {}", with_spread(slope)),
+        Some(slope) => format!("slope {}", format_fitted(slope)),
         None => "no slope".into(),
     };
     let name = &figure.name;
     let unit = &figure.unit;
     let per = match against {
-        Against::Servers => "server",
-        Against::Nodes => "node",
+        SizeDimension::Servers => "server",
+        SizeDimension::Nodes => "node",
     };
     format!("{name} in {unit}: {exponent}; {slope} {unit} per {per}\n")
 }
 
-fn with_spread(fitted: &Fitted) -> String {
-    format!("{} ({}..{})", short(fitted.value), short(fitted.least), short(fitted.most))
+fn format_fitted(fitted: &Fitted) -> String {
+    format!(
+        "{} ({}..{})",
+        format_number(fitted.value),
+        format_number(fitted.least),
+        format_number(fitted.most)
+    )
 }
 
-/// The number with four significant digits.
-fn short(value: f64) -> String {
+/// Returns the number with four significant digits.
+fn format_number(value: f64) -> String {
     if value == 0.0 || !value.is_finite() {
         return value.to_string();
     }
--- a/crates/scale-bench/tests/decisions.rs
+++ b/crates/scale-bench/tests/decisions.rs
@@ -1,4 +1,5 @@
-//! `scale-bench decisions`: the same work for the same seed, and one line for bad arguments.
+//! Tests of `scale-bench decisions`: a seed determines the work, and invalid arguments give an error of one
+//! line.
 
 mod common {
     pub mod command;
@@ -7,15 +8,15 @@
 use common::command::{assert_refused_in_one_line, run, PROGRAM};
 use scale_bench::report::Report;
 
-/// A short run with these arguments.
+/// Runs `decisions` for a short time with these arguments and returns its report.
 fn report(arguments: &[&str]) -> Report {
     let arguments = [&["--json", "--warm-up-s", "0.5", "--run-s", "2"], arguments].concat();
     let output = run("decisions", &arguments);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    serde_json::from_slice(&output.stdout).expect("a report")
+    serde_json::from_slice(&output.stdout).expect("standard output is not a JSON report")
 }
 
-/// The figures that count work, without those of time and memory.
+/// Returns the figures that count events, calls or servers, without those that depend on time and memory.
 fn counts(report: &Report) -> Vec<(String, f64)> {
     let is_count = |unit: &str| ["events", "calls", "servers"].contains(&unit);
     let counts = report.figures.iter().filter(|figure| is_count(&figure.unit));
@@ -23,15 +24,16 @@
 }
 
 #[test]
-fn same_seed_repeats_the_run() {
+fn same_seed_gives_the_same_counts() {
     let first = report(&["--seed", "5"]);
     assert_eq!(counts(&first), counts(&report(&["--seed", "5"])));
     assert_ne!(counts(&first), counts(&report(&["--seed", "6"])));
     let get = |name| first.get(name).expect(name);
-    // 130 requests a second for 2 s, and 50 timers a second; nothing is lost in a healthy fleet.
-    assert!((180.0..340.0).contains(&get("request_count")), "{}", get("request_count"));
+    // The run has 130 requests per second for 2 s and 50 timers per second. No request is lost in a healthy
+    // fleet.
+    assert!((180.0..340.0).contains(&get("request_count")), "request_count is {}", get("request_count"));
     assert_eq!(get("tick_count"), 100.0);
-    assert!((get("answered") - get("request_count")).abs() < 30.0, "{}", get("answered"));
+    assert!((get("answered") - get("request_count")).abs() < 30.0, "answered is {}", get("answered"));
     assert_eq!(get("failed"), 0.0);
     assert_eq!(get("refused"), 0.0);
     assert_eq!(get("whole_same_count"), 5.0);
@@ -41,7 +43,7 @@
 }
 
 #[test]
-fn requests_without_a_quota_call_no_counter() {
+fn requests_without_a_quota_do_not_call_the_counter_service() {
     let report = report(&["--quota-share", "0", "--servers", "30", "--nodes", "40", "--me", "39"]);
     assert_eq!(report.get("counter_calls"), Some(0.0));
     assert_eq!(report.get("counted_count"), Some(0.0));
@@ -56,11 +58,11 @@
     let least = get("ratio_tick_p50_least");
     let ratio = get("ratio_tick_p50");
     let most = get("ratio_tick_p50_most");
-    assert!(0.0 < least && least <= ratio && ratio <= most, "{least} {ratio} {most}");
+    assert!(0.0 < least && least <= ratio && ratio <= most, "least {least}, ratio {ratio}, most {most}");
 }
 
 #[test]
-fn bad_arguments_are_refused_in_one_line() {
+fn invalid_arguments_are_rejected_in_one_line() {
     for (arguments, part) in [
         (&["--nodes", "300", "--me", "300"][..], "--me 300"),
         (&["--rate", "0"], "--rate 0"),
--- a/crates/scale-bench/tests/slopes.rs
+++ b/crates/scale-bench/tests/slopes.rs
@@ -1,4 +1,4 @@
-//! `scale-bench slopes`: fits on given numbers, and ladders whose runs fail in part.
+//! Tests of `scale-bench slopes`: fits to known values, and ladders in which some runs fail.
 
 mod common {
     pub mod command;
@@ -10,9 +10,10 @@
 use scale_bench::slopes::fit::{exponent, slope, NoExponent, Point};
 use scale_bench::slopes::{Ladder, Size};
 
+/// Sizes at which the values to fit are given.
 const SIZES: [f64; 4] = [200.0, 4_600.0, 23_000.0, 46_000.0];
 
-/// Three runs over the sizes, with the value that a run gives at a size.
+/// Returns the points of three runs over all sizes. `value` returns the value of a run at a size.
 fn points(value: impl Fn(u32, f64) -> f64) -> Vec<Point> {
     let mut points = Vec::new();
     for run in 0..3 {
@@ -24,38 +25,40 @@
 }
 
 fn assert_near(value: f64, expected: f64, tolerance: f64) {
-    assert!((value - expected).abs() <= tolerance, "{value} is not {expected}");
+    assert!((value - expected).abs() <= tolerance, "got {value}, expected {expected}");
 }
 
 #[test]
-fn exact_power_laws_give_their_exponent() {
+fn fit_finds_the_exponent_of_exact_power_laws() {
     for power in [0.0, 0.5, 1.0, 2.0] {
-        let fitted = exponent(&points(|_, size| 3.0 * size.powf(power))).expect("an exponent");
+        let fitted =
+            exponent(&points(|_, size| 3.0 * size.powf(power))).expect("the points have no exponent");
         assert_near(fitted.value, power, 1e-9);
         assert_near(fitted.most - fitted.least, 0.0, 1e-9);
     }
-    let line = slope(&points(|_, size| 7.0 - 0.25 * size)).expect("a slope");
+    let line = slope(&points(|_, size| 7.0 - 0.25 * size)).expect("the points have no slope");
     assert_near(line.value, -0.25, 1e-9);
 }
 
 #[test]
-fn noise_shows_as_spread_about_the_exponent() {
-    // Each run deviates by another fixed pattern of up to a tenth.
+fn noise_widens_the_spread_of_the_exponent() {
+    // The values of each run deviate by up to a tenth, in a fixed pattern of their own.
     let noise = [[0.9, 1.1, 1.0, 1.0], [1.1, 0.9, 1.05, 0.95], [1.0, 1.0, 0.9, 1.1]];
     let factor = |run: u32, size: f64| {
-        let index = SIZES.iter().position(|&known| known == size).expect("a known size");
+        let index = SIZES.iter().position(|&known| known == size).expect("the size is not one of SIZES");
         noise[run as usize][index]
     };
-    let fitted = exponent(&points(|run, size| 2.0 * size * factor(run, size))).expect("an exponent");
+    let fitted =
+        exponent(&points(|run, size| 2.0 * size * factor(run, size))).expect("the points have no exponent");
     assert_near(fitted.value, 1.0, 0.02);
     assert!(fitted.least < fitted.value && fitted.value < fitted.most, "{fitted:?}");
     assert!((0.01..0.1).contains(&(fitted.most - fitted.least)), "{fitted:?}");
 }
 
 #[test]
-fn one_run_of_another_law_shows_in_the_spread() {
-    let mixed =
-        exponent(&points(|run, size| if run == 2 { size * size } else { size })).expect("an exponent");
+fn run_with_another_exponent_widens_the_spread() {
+    let mixed = exponent(&points(|run, size| if run == 2 { size * size } else { size }))
+        .expect("the points have no exponent");
     assert_near(mixed.least, 1.0, 1e-9);
     assert_near(mixed.most, 2.0, 1e-9);
     assert_near(mixed.value, 4.0 / 3.0, 1e-9);
@@ -74,26 +77,27 @@
     assert_eq!(exponent(&[]), Err(NoExponent::OneSize));
 }
 
-/// Runs a ladder of `decisions` whose runs have a short warm-up and these arguments.
+/// Runs a ladder of `decisions` with these arguments. Its runs get a short warm-up and `run_arguments`.
 fn ladder_of_decisions(arguments: &[&str], run_arguments: &[&str]) -> Output {
     let run_arguments = [&["--", "--warm-up-s", "0.1"], run_arguments].concat();
     run("slopes", &[&["decisions"], arguments, &run_arguments].concat())
 }
 
 #[test]
-fn ladder_holds_every_run_and_reports_failures() {
-    // Node 35 does not exist in a fleet of 30, so the smallest size fails in both runs.
+fn ladder_lists_every_run_and_reports_failures() {
+    // A fleet of 30 nodes has no node 35, so both runs at the smallest size fail.
     let arguments = ["--json", "--sizes", "20/30,40/60,80/120", "--runs", "2"];
     let output = ladder_of_decisions(&arguments, &["--me", "35", "--run-s", "0.5"]);
     assert!(!output.status.success());
     assert!(String::from_utf8_lossy(&output.stderr).contains("2 of 6 runs failed"));
-    let ladder: Ladder = serde_json::from_slice(&output.stdout).expect("a ladder");
+    let ladder: Ladder =
+        serde_json::from_slice(&output.stdout).expect("standard output is not a JSON ladder");
     let runs: Vec<_> =
         ladder.runs.iter().map(|run| (run.size.servers, run.seed, run.report.is_some())).collect();
     let expected = [1, 2].map(|seed| [(20, seed, false), (40, seed, true), (80, seed, true)]);
     assert_eq!(runs, expected.concat());
     for run in ladder.runs.iter().filter(|run| run.size.servers == 20) {
-        let failure = run.failure.as_deref().expect("a failure");
+        let failure = run.failure.as_deref().expect("the run has no failure");
         assert!(failure.contains("--me 35 is no node of 30"), "{run:?}");
     }
     let figure = |name: &str| ladder.figures.iter().find(|figure| figure.name == name).expect(name);
@@ -101,7 +105,7 @@
     let means: Vec<_> = timers.sizes.iter().map(|at_size| (at_size.size, at_size.mean)).collect();
     let size = |servers, nodes| Size { servers, nodes };
     assert_eq!(means, [(size(40, 60), 25.0), (size(80, 120), 25.0)]);
-    assert_near(timers.exponent.expect("an exponent").value, 0.0, 1e-9);
+    assert_near(timers.exponent.expect("the figure has no exponent").value, 0.0, 1e-9);
     assert_eq!(figure("failed").no_exponent, Some(NoExponent::NotPositive));
 }
 
@@ -120,7 +124,8 @@
     let arguments = ["--json", "--sizes", "200/300,400/600", "--limit-s", "1"];
     let output = ladder_of_decisions(&arguments, &["--rate", "5000", "--run-s", "600"]);
     assert!(!output.status.success());
-    let ladder: Ladder = serde_json::from_slice(&output.stdout).expect("a ladder");
+    let ladder: Ladder =
+        serde_json::from_slice(&output.stdout).expect("standard output is not a JSON ladder");
     let failures: Vec<_> = ladder.runs.iter().filter_map(|run| run.failure.as_deref()).collect();
     assert_eq!(failures.len(), 6, "{failures:?}");
     assert!(failures[0].ends_with("ended by the time limit"), "{failures:?}");
@@ -130,7 +135,7 @@
 }
 
 #[test]
-fn bad_ladders_are_refused_in_one_line() {
+fn invalid_ladders_are_rejected_in_one_line() {
     for (arguments, run_arguments, part) in [
         (&["--sizes", "200"][..], &[][..], "\"200\""),
         (&["--sizes", "200/300,0/4"], &[], "\"0/4\""),
