--- a/crates/scale-bench/src/slopes/options.rs
+++ b/crates/scale-bench/src/slopes/options.rs
@@ -20,7 +20,7 @@
     /// Subcommand that is run at each size
     #[arg(value_enum)]
     pub command: MeasuredCommand,
-    /// Two or more sizes, each as number of app servers/number of edge nodes
+    /// Two or more sizes, each with its numbers of app servers and edge nodes
     #[arg(long, value_name = "SERVERS/NODES,...", default_value = "200/300,4600/570,46000/5700")]
     pub sizes: String,
     /// Number of runs at each size, each with a seed of its own
--- a/crates/scale-bench/src/soak.rs
+++ b/crates/scale-bench/src/soak.rs
@@ -1,5 +1,5 @@
-//! A soak: many short plays of one real node whose peers and clients make trouble, all drawn from the play's seed, and
-//! the rules of the service checked on each.
+//! The subcommand `soak`: many short plays, each of which runs one real node with faulty peers and clients
+//! and checks the rules of the service. All that happens in a play is drawn from its seed.
 
 mod client;
 mod endpoints;
@@ -21,21 +21,22 @@
 pub use options::Options;
 pub use plan::{Behaviour, Plan};
 pub use play::{PlayResult, Verdict};
-pub use rules::{Counts, Ending, Ledger, Violation};
+pub use rules::{Counts, Ending, RequestLog, Violation};
 
 use crate::error::BenchError;
 use crate::node::limits;
 
-/// Threads that serve clients and peers.
+/// Number of threads that run the clients and peers of all plays.
 const THREADS: usize = 3;
-/// Descriptors of this process for each play, and for all else.
+/// File descriptors that this process needs for each play.
 const DESCRIPTORS_PER_PLAY: u64 = 800;
-const OWN_DESCRIPTORS: u64 = 64;
+/// File descriptors that this process needs apart from the plays.
+const OTHER_DESCRIPTORS: u64 = 64;
 
-/// Makes the plays, prints a line for each, and fails if one of them has failed.
+/// Runs the plays and prints a line for each play, a line for each broken rule, and the totals.
 ///
 /// # Errors
-/// If a rule was broken, the node can't be started, or the lines can't be written.
+/// If a rule was broken, a node or its peers can't be started, or the results can't be written.
 pub fn run(options: Options) -> Result<(), BenchError> {
     let results = play_all(&options)?;
     let count = |verdict| results.iter().filter(|result| result.verdict == verdict).count();
@@ -51,13 +52,13 @@
     Ok(())
 }
 
-/// Makes the plays, prints a line for each, and returns their results in the order in which they ended.
+/// Runs the plays, prints their results, and returns the results in the order in which the plays ended.
 ///
 /// # Errors
-/// If the node can't be started, or the lines can't be written.
+/// If a node or its peers can't be started, or the results can't be written.
 pub fn play_all(options: &Options) -> Result<Vec<PlayResult>, BenchError> {
     options.check()?;
-    limits::allow_descriptors(u64::from(options.parallel) * DESCRIPTORS_PER_PLAY + OWN_DESCRIPTORS)?;
+    limits::allow_descriptors(u64::from(options.parallel) * DESCRIPTORS_PER_PLAY + OTHER_DESCRIPTORS)?;
     let runtime = limits::new_runtime(THREADS)?;
     let results = runtime.block_on(play_in_parallel(options));
     runtime.shutdown_background();
@@ -65,32 +66,32 @@
 }
 
 async fn play_in_parallel(options: &Options) -> Result<Vec<PlayResult>, BenchError> {
-    let places = Arc::new(Semaphore::new(options.parallel as usize));
+    let permits = Arc::new(Semaphore::new(options.parallel as usize));
     let mut plays = JoinSet::new();
     for seed in options.seeds.clone() {
-        let places = places.clone();
+        let permits = permits.clone();
         let program = options.program.clone();
         plays.spawn(async move {
-            let _place = places.acquire_owned().await;
+            let _permit = permits.acquire_owned().await;
             play::run(seed, &program).await
         });
     }
     let mut results = Vec::new();
     while let Some(played) = plays.join_next().await {
         let result = played.map_err(|error| BenchError::System {
-            what: "a play has not ended in order",
+            what: "the task of a play panicked or was cancelled",
             source: std::io::Error::other(error),
         })??;
-        print_line(&result);
+        print_result(&result);
         if let Some(path) = &options.out {
-            append(path, &result)?;
+            append_result(path, &result)?;
         }
         results.push(result);
     }
     Ok(results)
 }
 
-fn print_line(result: &PlayResult) {
+fn print_result(result: &PlayResult) {
     let PlayResult { seed, verdict, violations, counts, lateness_ms, .. } = result;
     println!(
         "seed {seed}: {verdict:?}, {} requests, {} served, {} not served, late by {lateness_ms} ms at most",
@@ -101,7 +102,8 @@
     }
 }
 
-fn append(path: &Path, result: &PlayResult) -> Result<(), BenchError> {
+/// Appends the result to the file as one line of JSON.
+fn append_result(path: &Path, result: &PlayResult) -> Result<(), BenchError> {
     let failed = |source| BenchError::File { path: path.display().to_string(), source };
     let mut file = std::fs::OpenOptions::new().create(true).append(true).open(path).map_err(failed)?;
     let line = serde_json::to_string(result).map_err(|error| failed(error.into()))?;
--- a/crates/scale-bench/src/soak/client.rs
+++ b/crates/scale-bench/src/soak/client.rs
@@ -1,4 +1,4 @@
-//! Clients that keep their connection, and what they send.
+//! Clients that send requests one after another and keep their connection, and the text of their requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,70 +12,75 @@
 
 use super::message::read_message;
 use super::phase::Phase;
-use super::rules::{Ending, Ledger, ANSWER_SLACK};
+use super::rules::{Ending, RequestLog, RESPONSE_SLACK};
 use crate::fakes::hash::mix;
 use crate::node::configuration::{RequestClass, CLASSES, QUOTA_PLAN, UNLIMITED_PLAN};
 
-/// How long clients wait, in milliseconds; each request draws one.
+/// Deadlines from which each request draws one: how long its client waits, in milliseconds.
 const DEADLINES_MS: [u64; 4] = [300, 800, 1_500, 3_000];
-/// Accounts that requests are charged to, of either plan.
+/// Number of accounts of each plan to which requests are charged.
 const ACCOUNTS: u64 = 8;
-/// The share of requests whose client closes before their answer, and of those sent in pieces.
-const LEAVING_SHARE: f64 = 0.04;
-const PIECES_SHARE: f64 = 0.05;
-/// Pause between the pieces of a request.
+/// Share of requests whose client closes the connection before the response.
+const EARLY_CLOSE_SHARE: f64 = 0.04;
+/// Share of requests that are sent in pieces.
+const SPLIT_SHARE: f64 = 0.05;
+/// Pause after each piece of a request.
 const PIECE_PAUSE: Duration = Duration::from_millis(30);
-/// Pause after a connection could not be made.
+/// Pause after a failed attempt to connect.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(30);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What all clients of a play have in common.
+/// The properties that all clients of a play share.
 pub struct ClientSetup {
-    /// Where the node listens.
+    /// The address at which the node listens.
     pub address: SocketAddr,
     /// The seed of the play.
     pub seed: u64,
-    /// The class of all requests; none if they have all classes.
+    /// Index of the class of all requests; `None` if the class of each request is drawn.
     pub only_class: Option<usize>,
-    /// Mean pause between two requests of a client.
+    /// Mean pause of a client before each of its requests.
     pub pause: Duration,
-    /// Where requests are recorded.
-    pub ledger: Arc<Ledger>,
-    /// How far the play is.
+    /// Log in which requests are recorded.
+    pub request_log: Arc<RequestLog>,
+    /// The phase that the play is in.
     pub phase: Arc<Phase>,
 }
 
-/// A client, and its own random numbers.
+/// A client with a random number generator of its own.
 pub struct Client {
     setup: Arc<ClientSetup>,
     number: u64,
     random: StdRng,
+    /// Number of requests sent so far.
     sent: u64,
 }
 
-/// A connection and what was seen on it.
+/// A connection to the node.
 struct Connection {
     stream: BufReader<TcpStream>,
-    has_answered: bool,
+    /// Whether a response has been received on it before.
+    was_used: bool,
 }
 
-/// A request that is about to be sent.
+/// A request whose properties are drawn before it is sent.
 struct DrawnRequest {
     id: String,
     text: String,
     deadline: Duration,
-    in_pieces: bool,
-    leaves_after: Option<Duration>,
+    is_split: bool,
+    /// Time between sending and the client's close; `None` if the client waits for the response.
+    closes_after: Option<Duration>,
 }
 
 impl Client {
-    /// The client of this number.
+    /// Creates the client with this number, from which its random numbers and request ids are derived.
     pub fn new(setup: Arc<ClientSetup>, number: u64) -> Client {
         let random = StdRng::seed_from_u64(mix(setup.seed, 1_000 + number));
         Client { setup, number, random, sent: 0 }
     }
 
-    /// Sends requests one after another until the play ends, on one connection as long as that is open.
+    /// Sends requests one after another until the play ends, or until no connection can be made during the
+    /// shutdown. A connection is used as long as it stays open.
     pub async fn run(mut self) {
         let mut connection = None;
         while !self.setup.phase.has_ended() {
@@ -99,15 +104,17 @@
         }
     }
 
+    /// Connects to the node. Returns `None`, after a pause, if that fails, and `None` at once if the phase
+    /// allows no new connections.
     async fn connect(&self) -> Option<Connection> {
         if !self.setup.phase.allows_new_connections() {
             return None;
         }
         match timeout(CONNECT_TIMEOUT, TcpStream::connect(self.setup.address)).await {
             Ok(Ok(stream)) => {
-                // Where it can't be set requests are late, not wrong.
+                // An error is ignored: without this option requests are delayed but still correct.
                 let _ = stream.set_nodelay(true);
-                Some(Connection { stream: BufReader::new(stream), has_answered: false })
+                Some(Connection { stream: BufReader::new(stream), was_used: false })
             }
             _ => {
                 sleep(RECONNECT_PAUSE).await;
@@ -116,26 +123,27 @@
         }
     }
 
-    /// Sends a request and records how it ends. Returns the connection if it can be used again.
+    /// Draws and sends a request and records how it ends. Returns the connection if it can be used again.
     async fn request(&mut self, mut connection: Connection) -> Option<Connection> {
         let class = self.setup.only_class.unwrap_or_else(|| self.random.random_range(0..CLASSES.len()));
         let class = &CLASSES[class];
         let request = self.draw(class);
-        let may_be_unread = connection.has_answered || self.setup.phase.may_close_unread();
-        self.setup.ledger.sent(&request.id, class.is_idempotent(), request.deadline);
+        let may_be_unread = connection.was_used || self.setup.phase.may_close_unread();
+        self.setup.request_log.record_sent(&request.id, class.is_idempotent(), request.deadline);
         let (ending, is_reusable) = exchange(&mut connection, &request, may_be_unread).await;
-        // The node may have begun to close connections meanwhile.
+        // The node may have begun to close connections while the request was under way.
         let ending = match ending {
             Ending::Closed { may_be_unread } => {
                 Ending::Closed { may_be_unread: may_be_unread || self.setup.phase.may_close_unread() }
             }
             other => other,
         };
-        self.setup.ledger.ended(&request.id, ending);
-        connection.has_answered = true;
+        self.setup.request_log.record_ending(&request.id, ending);
+        connection.was_used = true;
         is_reusable.then_some(connection)
     }
 
+    /// Draws the next request of this class.
     fn draw(&mut self, class: &RequestClass) -> DrawnRequest {
         self.sent += 1;
         let id = format!("c{}-{}", self.number, self.sent);
@@ -143,18 +151,18 @@
         let has_quota = self.random.random_bool(0.5);
         let plan = if has_quota { QUOTA_PLAN } else { UNLIMITED_PLAN };
         let account = self.random.random_range(0..ACCOUNTS) + if has_quota { ACCOUNTS } else { 0 };
-        let leaves = self.random.random_bool(LEAVING_SHARE);
+        let closes_early = self.random.random_bool(EARLY_CLOSE_SHARE);
         DrawnRequest {
             text: request_text(class, &id, plan, account, deadline_ms),
             id,
             deadline: Duration::from_millis(deadline_ms),
-            in_pieces: self.random.random_bool(PIECES_SHARE),
-            leaves_after: leaves.then(|| Duration::from_millis(self.random.random_range(0..200))),
+            is_split: self.random.random_bool(SPLIT_SHARE),
+            closes_after: closes_early.then(|| Duration::from_millis(self.random.random_range(0..200))),
         }
     }
 }
 
-/// A request as sent.
+/// Returns the text of a request with its headers and body.
 pub fn request_text(class: &RequestClass, id: &str, plan: &str, account: u64, deadline_ms: u64) -> String {
     let method = if class.has_body { "POST" } else { "GET" };
     let key = if class.has_key { format!("Idempotency-Key: k-{id}\r\n") } else { String::new() };
@@ -167,7 +175,9 @@
     )
 }
 
-/// Sends a request and waits for its answer. Returns how it ended, and whether the connection can be used again.
+/// Sends a request and waits for its response. Returns how the request ended, and whether the connection can
+/// be used again. `may_be_unread` says whether the node may close the connection without having read the
+/// request.
 async fn exchange(
     connection: &mut Connection,
     request: &DrawnRequest,
@@ -176,20 +186,20 @@
     if send(connection, request).await.is_err() {
         return (Ending::Closed { may_be_unread }, false);
     }
-    let answer_due = Instant::now() + request.deadline + ANSWER_SLACK;
-    let answer = answer(connection, may_be_unread);
-    match request.leaves_after {
-        Some(leaves_after) => match timeout(leaves_after, answer).await {
+    let response_due = Instant::now() + request.deadline + RESPONSE_SLACK;
+    let response = read_response(connection, may_be_unread);
+    match request.closes_after {
+        Some(closes_after) => match timeout(closes_after, response).await {
             Ok(ended) => ended,
-            Err(_) => (Ending::Left { at: Instant::now() }, false),
+            Err(_) => (Ending::ClosedByClient { at: Instant::now() }, false),
         },
-        None => timeout_at(answer_due, answer).await.unwrap_or((Ending::Late, false)),
+        None => timeout_at(response_due, response).await.unwrap_or((Ending::TimedOut, false)),
     }
 }
 
 async fn send(connection: &mut Connection, request: &DrawnRequest) -> std::io::Result<()> {
     let stream = connection.stream.get_mut();
-    if !request.in_pieces {
+    if !request.is_split {
         return stream.write_all(request.text.as_bytes()).await;
     }
     for piece in request.text.as_bytes().chunks(request.text.len().div_ceil(3)) {
@@ -199,10 +209,12 @@
     Ok(())
 }
 
-async fn answer(connection: &mut Connection, may_be_unread: bool) -> (Ending, bool) {
-    // An error before the first byte is the end of the connection, too.
-    let has_begun = connection.stream.fill_buf().await.is_ok_and(|bytes| !bytes.is_empty());
-    if !has_begun {
+/// Reads the response to a request. Returns how the request ended, and whether the connection can be used
+/// again.
+async fn read_response(connection: &mut Connection, may_be_unread: bool) -> (Ending, bool) {
+    // An error before the first byte counts as a close of the connection.
+    let has_response_begun = connection.stream.fill_buf().await.is_ok_and(|bytes| !bytes.is_empty());
+    if !has_response_begun {
         return (Ending::Closed { may_be_unread }, false);
     }
     match read_message(&mut connection.stream).await {
--- a/crates/scale-bench/src/soak/endpoints.rs
+++ b/crates/scale-bench/src/soak/endpoints.rs
@@ -1,4 +1,5 @@
-//! Endpoints that fail as a play has it: one listener at all loopback addresses.
+//! The endpoints of a play and their faults. One listener serves all loopback addresses, each of which is an
+//! endpoint.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -12,21 +13,22 @@
 
 use super::message::{read_message, Message};
 use super::plan::Behaviour;
-use super::rules::Ledger;
+use super::rules::RequestLog;
 use crate::fakes::hash::{fraction, mix};
 use crate::fakes::listener::{accept, listen_on_all_loopback_addresses};
 use crate::fakes::lock;
 
-/// How long an endpoint works on a request: this, and up to so much more.
-const LEAST_WORK: Duration = Duration::from_millis(3);
-const MAX_FURTHER_WORK_MS: f64 = 30.0;
+/// Shortest time that an endpoint works on a request.
+const MIN_SERVICE_TIME: Duration = Duration::from_millis(3);
+/// Longest time that an endpoint works on a request beyond [`MIN_SERVICE_TIME`], in milliseconds.
+const MAX_EXTRA_SERVICE_TIME_MS: f64 = 30.0;
 
-/// A fault of a share of the endpoints.
+/// A fault that affects a share of the endpoints.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EndpointFault {
-    /// What they do.
+    /// What the affected endpoints do with attempts.
     pub behaviour: Behaviour,
-    /// Their share.
+    /// The share of the endpoints that are affected, from 0 to 1.
     pub share: f64,
 }
 
@@ -34,42 +36,45 @@
 pub struct FaultyEndpoints {
     seed: u64,
     port: u16,
+    /// Active faults in the order in which they began.
     faults: Mutex<Vec<EndpointFault>>,
-    ledger: Arc<Ledger>,
+    request_log: Arc<RequestLog>,
 }
 
 impl FaultyEndpoints {
-    /// Starts an endpoint at every loopback address; they run as long as the runtime.
+    /// Starts an endpoint at every loopback address. The endpoints run as long as the runtime.
     ///
     /// # Errors
-    /// If they can't listen on the loopback device alone.
-    pub fn start(seed: u64, ledger: Arc<Ledger>) -> io::Result<Arc<Self>> {
+    /// If no listener can be bound to the loopback device alone.
+    pub fn start(seed: u64, request_log: Arc<RequestLog>) -> io::Result<Arc<Self>> {
         let listener = listen_on_all_loopback_addresses()?;
         let port = listener.local_addr()?.port();
-        let endpoints = Arc::new(FaultyEndpoints { seed, port, faults: Mutex::default(), ledger });
+        let endpoints = Arc::new(FaultyEndpoints { seed, port, faults: Mutex::default(), request_log });
         tokio::spawn(endpoints.clone().serve(listener));
         Ok(endpoints)
     }
 
-    /// The port that each of them listens at.
+    /// Returns the port at which all endpoints listen.
     pub fn port(&self) -> u16 {
         self.port
     }
 
-    /// Begins a fault.
-    pub fn begin(&self, fault: EndpointFault) {
+    /// Begins a fault, which takes precedence over those that began before.
+    pub fn begin_fault(&self, fault: EndpointFault) {
         lock(&self.faults).push(fault);
     }
 
-    /// Ends a fault.
-    pub fn end(&self, fault: EndpointFault) {
+    /// Ends a fault; does nothing if it is not active.
+    pub fn end_fault(&self, fault: EndpointFault) {
         let mut faults = lock(&self.faults);
         if let Some(index) = faults.iter().position(|active| *active == fault) {
             faults.remove(index);
         }
     }
 
-    /// What an endpoint does now: the latest fault that it is among counts.
+    /// Returns what an endpoint does now, which the latest active fault that affects it decides. Each
+    /// endpoint has a fixed place from 0 to 1, drawn from the seed; a fault affects the endpoints whose place
+    /// is below its share.
     fn behaviour(&self, endpoint: IpAddr) -> Behaviour {
         let place = fraction(self.seed, address_number(endpoint));
         let faults = lock(&self.faults);
@@ -89,21 +94,27 @@
     async fn serve_connection(self: Arc<Self>, stream: TcpStream, endpoint: SocketAddr) {
         let mut stream = BufReader::new(stream);
         while let Ok(Some(request)) = read_message(&mut stream).await {
-            if !self.answer(&mut stream, &request, endpoint.ip()).await {
+            if !self.handle_request(&mut stream, &request, endpoint.ip()).await {
                 return;
             }
         }
     }
 
-    /// Answers a request as the endpoint does now. Returns whether the connection goes on.
-    async fn answer(&self, stream: &mut BufReader<TcpStream>, request: &Message, endpoint: IpAddr) -> bool {
+    /// Handles a request according to the endpoint's current behaviour. A request without an id is not an
+    /// attempt and gets status 200. Returns whether the connection stays open.
+    async fn handle_request(
+        &self,
+        stream: &mut BufReader<TcpStream>,
+        request: &Message,
+        endpoint: IpAddr,
+    ) -> bool {
         let Some(id) = request.header("x-request-id") else {
             return write(stream, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
         };
         let behaviour = self.behaviour(endpoint);
-        self.ledger.attempted(id, behaviour);
-        let further_ms = MAX_FURTHER_WORK_MS * fraction(self.seed, mix(7, address_number(endpoint)));
-        sleep(LEAST_WORK + Duration::from_secs_f64(further_ms / 1e3)).await;
+        self.request_log.record_attempt(id, behaviour);
+        let extra_ms = MAX_EXTRA_SERVICE_TIME_MS * fraction(self.seed, mix(7, address_number(endpoint)));
+        sleep(MIN_SERVICE_TIME + Duration::from_secs_f64(extra_ms / 1e3)).await;
         let body = format!("{id} {endpoint}");
         let length = body.len();
         match behaviour {
@@ -123,12 +134,12 @@
                 false
             }
             Behaviour::Reset => {
-                // Where it can't be set the connection is closed instead.
+                // An error is ignored: without this option the connection is closed instead of reset.
                 let _ = SockRef::from(stream.get_ref()).set_linger(Some(Duration::ZERO));
                 false
             }
             Behaviour::Hang => {
-                // Until the node closes the connection.
+                // The endpoint reads and discards until the node closes the connection.
                 while stream.read(&mut [0; 256]).await.is_ok_and(|count| count > 0) {}
                 false
             }
@@ -136,10 +147,12 @@
     }
 }
 
+/// Writes text to the connection. Returns whether that succeeded.
 async fn write(stream: &mut BufReader<TcpStream>, text: &str) -> bool {
     stream.get_mut().write_all(text.as_bytes()).await.is_ok()
 }
 
+/// Returns the address as a number; 0 for IPv6 addresses, which are not used.
 fn address_number(address: IpAddr) -> u64 {
     match address {
         IpAddr::V4(address) => u64::from(u32::from(address)),
--- a/crates/scale-bench/src/soak/flood.rs
+++ b/crates/scale-bench/src/soak/flood.rs
@@ -1,4 +1,5 @@
-//! Many connections at once that send nothing, half a request or a byte now and then.
+//! A flood: many connections at once, on which clients send nothing, a part of a request or a byte from time
+//! to time.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,60 +14,67 @@
 use super::plan::{Flood, FloodKind};
 use crate::node::configuration::{CLASSES, UNLIMITED_PLAN};
 
-/// How long a client of the flood stays.
-pub const STAY: Duration = Duration::from_secs(4);
-/// A client that sends a part of a request and no more is owed an error or a close within this time.
-const BAD_CLIENT_LIMIT: Duration = Duration::from_millis(3_200);
-/// How much of a request is sent, in bytes.
-const HALF: usize = 40;
-/// Pause between two bytes of a slow client.
+/// How long an idle or slow client keeps its connection.
+pub const CONNECTION_TIME: Duration = Duration::from_secs(4);
+/// Time within which the node has to answer with an error, or close the connection, when a client sends a
+/// part of a request and no more.
+const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_millis(3_200);
+/// Length of the part of a request that is sent, in bytes.
+const PARTIAL_REQUEST_BYTES: usize = 40;
+/// Pause of a slow client after each byte.
 const BYTE_PAUSE: Duration = Duration::from_millis(100);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What one client of the flood does.
+/// What one client of the flood sends.
 #[derive(Clone, Copy, PartialEq)]
-enum Member {
+enum FloodClient {
+    /// Nothing.
     Idle,
+    /// The first bytes of a request.
     HalfSent,
+    /// A request, byte by byte.
     Slow,
 }
 
-/// Connects the clients of a flood, waits until it has left, and returns how many clients with half a request were neither
-/// answered nor closed in time.
+/// Runs the clients of a flood until all have ended. Returns how many clients that sent a part of a request
+/// were neither answered nor closed in time.
 pub async fn run(flood: &Flood, address: SocketAddr) -> usize {
     let text: Arc<str> = request_text(&CLASSES[0], "flood", UNLIMITED_PLAN, 99, 1_000).into();
-    let mut members = JoinSet::new();
+    let mut clients = JoinSet::new();
     for number in 0..flood.count {
-        let member = match flood.kind {
-            FloodKind::Idle => Member::Idle,
-            FloodKind::HalfSent => Member::HalfSent,
-            FloodKind::Slow => Member::Slow,
-            FloodKind::PartlyHalfSent if number % 3 == 0 => Member::HalfSent,
-            FloodKind::PartlyHalfSent => Member::Idle,
+        let client = match flood.kind {
+            FloodKind::Idle => FloodClient::Idle,
+            FloodKind::HalfSent => FloodClient::HalfSent,
+            FloodKind::Slow => FloodClient::Slow,
+            FloodKind::PartlyHalfSent if number % 3 == 0 => FloodClient::HalfSent,
+            FloodKind::PartlyHalfSent => FloodClient::Idle,
         };
-        members.spawn(stay(address, member, text.clone()));
+        clients.spawn(run_client(address, client, text.clone()));
     }
-    members.join_all().await.into_iter().filter(|was_held| *was_held).count()
+    clients.join_all().await.into_iter().filter(|was_not_given_up| *was_not_given_up).count()
 }
 
-/// Whether a client with half a request was neither answered nor closed in time.
-async fn stay(address: SocketAddr, member: Member, text: Arc<str>) -> bool {
+/// Runs one client of the flood. Returns whether it sent a part of a request and was neither answered nor
+/// closed in time.
+async fn run_client(address: SocketAddr, client: FloodClient, text: Arc<str>) -> bool {
     let Ok(Ok(mut stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await else {
         return false;
     };
-    match member {
-        Member::Idle => {
-            let _ = timeout(STAY, stream.read(&mut [0; 256])).await;
+    match client {
+        FloodClient::Idle => {
+            let _ = timeout(CONNECTION_TIME, stream.read(&mut [0; 256])).await;
             false
         }
-        Member::HalfSent => {
-            if stream.write_all(&text.as_bytes()[..HALF]).await.is_err() {
+        FloodClient::HalfSent => {
+            if stream.write_all(&text.as_bytes()[..PARTIAL_REQUEST_BYTES]).await.is_err() {
                 return false;
             }
-            timeout(BAD_CLIENT_LIMIT, stream.read(&mut [0; 256])).await.is_err()
+            timeout(PARTIAL_REQUEST_TIMEOUT, stream.read(&mut [0; 256])).await.is_err()
         }
-        Member::Slow => {
-            for byte in text.as_bytes().iter().take((STAY.as_millis() / BYTE_PAUSE.as_millis()) as usize) {
+        FloodClient::Slow => {
+            for byte in
+                text.as_bytes().iter().take((CONNECTION_TIME.as_millis() / BYTE_PAUSE.as_millis()) as usize)
+            {
                 if stream.write_all(&[*byte]).await.is_err() {
                     return false;
                 }
--- a/crates/scale-bench/src/soak/message.rs
+++ b/crates/scale-bench/src/soak/message.rs
@@ -1,37 +1,38 @@
-//! HTTP messages with a length, as clients and endpoints of a play read them.
+//! Reads HTTP messages whose body has a `Content-Length`, for the clients and endpoints of a play.
 
 use std::io;
 
 use tokio::io::{AsyncBufRead, AsyncBufReadExt, AsyncReadExt};
 
-/// The longest body that is read, in bytes.
-const MAX_BODY_LENGTH: usize = 1 << 20;
+/// Maximum length of a body, in bytes.
+const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// A request or a response.
+/// An HTTP request or response.
 #[derive(Debug)]
 pub struct Message {
     first_line: String,
+    /// Names in lower case, and values.
     headers: Vec<(String, String)>,
-    /// The body.
+    /// The body; empty if the message has none.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// The status of a response, if it is one.
+    /// Returns the status of a response; `None` if the message has no status.
     pub fn status(&self) -> Option<u16> {
         self.first_line.split(' ').nth(1)?.parse().ok()
     }
 
-    /// The value of a header; its name in lower case.
+    /// Returns the value of a header; `None` if it is missing. `name` has to be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
+        self.headers.iter().find(|(stored_name, _)| stored_name == name).map(|(_, value)| value.as_str())
     }
 }
 
-/// Reads one message; none if the connection ends before its first byte.
+/// Reads one message. Returns `None` if the connection ends before the first byte.
 ///
 /// # Errors
-/// If the connection ends within the message, or it is malformed.
+/// If the connection fails or ends within the message, or the length of the body is malformed or over 1 MiB.
 pub async fn read_message(reader: &mut (impl AsyncBufRead + Unpin)) -> io::Result<Option<Message>> {
     let first_line = read_line(reader).await?;
     if first_line.is_empty() {
@@ -49,14 +50,14 @@
     let mut message = Message { first_line: first_line.trim_end().to_owned(), headers, body: Vec::new() };
     let length = message.header("content-length").map_or(Ok(0), str::parse);
     match length {
-        Ok(length) if length <= MAX_BODY_LENGTH => message.body.resize(length, 0),
+        Ok(length) if length <= MAX_BODY_BYTES => message.body.resize(length, 0),
         _ => return Err(io::ErrorKind::InvalidData.into()),
     }
     reader.read_exact(&mut message.body).await?;
     Ok(Some(message))
 }
 
-/// Reads a line with its end; empty at the end of the connection.
+/// Reads a line including its line end. Returns an empty string at the end of the connection.
 async fn read_line(reader: &mut (impl AsyncBufRead + Unpin)) -> io::Result<String> {
     let mut line = String::new();
     reader.read_line(&mut line).await?;
--- a/crates/scale-bench/src/soak/phase.rs
+++ b/crates/scale-bench/src/soak/phase.rs
@@ -1,4 +1,4 @@
-//! How far a play is, as its clients have to know.
+//! The phase of a play, which its clients have to know: flood, shutdown or end.
 
 use std::sync::Mutex;
 
@@ -6,54 +6,60 @@
 
 use crate::fakes::lock;
 
+/// Times at which phases begin and end.
 #[derive(Default)]
 struct Times {
+    /// Start and end of the effects of a flood.
     flood: Option<(Instant, Instant)>,
     shutdown_at: Option<Instant>,
+    /// Clients make no new connections from this time on.
     connections_until: Option<Instant>,
     has_ended: bool,
 }
 
-/// How far a play is.
+/// The phase of a play.
 #[derive(Default)]
 pub struct Phase {
     times: Mutex<Times>,
 }
 
 impl Phase {
-    /// A flood fills the node's descriptors until then.
-    pub fn flood_until(&self, until: Instant) {
+    /// Records that a flood, which can use up the node's descriptors, begins now and has effects until
+    /// `until`.
+    pub fn begin_flood(&self, until: Instant) {
         lock(&self.times).flood = Some((Instant::now(), until));
     }
 
-    /// The shutdown begins; new connections are made until then.
-    pub fn shutdown_begins(&self, connections_until: Instant) {
+    /// Records that the shutdown begins now and that clients make new connections only until
+    /// `connections_until`.
+    pub fn begin_shutdown(&self, connections_until: Instant) {
         let mut times = lock(&self.times);
         times.shutdown_at = Some(Instant::now());
         times.connections_until = Some(connections_until);
     }
 
-    /// The play has ended.
+    /// Records that the play has ended.
     pub fn end(&self) {
         lock(&self.times).has_ended = true;
     }
 
-    /// Whether the play has ended.
+    /// Returns whether the play has ended.
     pub fn has_ended(&self) -> bool {
         lock(&self.times).has_ended
     }
 
-    /// Whether the shutdown has begun.
+    /// Returns whether the shutdown has begun.
     pub fn is_shutting_down(&self) -> bool {
         lock(&self.times).shutdown_at.is_some()
     }
 
-    /// Whether clients make new connections.
+    /// Returns whether clients may make new connections.
     pub fn allows_new_connections(&self) -> bool {
         lock(&self.times).connections_until.is_none_or(|until| Instant::now() < until)
     }
 
-    /// Whether the node may close a connection over a request that it has not read: in a flood, and once it shuts down.
+    /// Returns whether the node may close a connection without having read a request on it. It may do so
+    /// during a flood and after the start of the shutdown.
     pub fn may_close_unread(&self) -> bool {
         let times = lock(&self.times);
         let now = Instant::now();
--- a/crates/scale-bench/src/soak/plan.rs
+++ b/crates/scale-bench/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What happens in a play, all drawn from its seed.
+//! The plan of a play: everything that happens in it, drawn from its seed.
 
 use std::time::Duration;
 
@@ -8,111 +8,111 @@
 
 use crate::fakes::hash::mix;
 
-/// Faults begin within this time of the start of the load, in milliseconds.
+/// Faults begin before this time after the start of the load, in milliseconds.
 const LAST_FAULT_START_MS: u64 = 4_000;
-/// How long a fault lasts, in milliseconds.
-const FAULT_MS: std::ops::Range<u64> = 500..3_000;
-/// How many classes there are.
+/// Range of the duration of a fault, in milliseconds.
+const FAULT_LENGTH_MS: std::ops::Range<u64> = 500..3_000;
+/// Number of request classes.
 pub const CLASS_COUNT: usize = 3;
 
 /// What an endpoint does with an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Behaviour {
-    /// It answers with status 200.
+    /// It responds with status 200.
     Serve,
-    /// It never answers.
+    /// It never responds.
     Hang,
     /// It resets the connection.
     Reset,
-    /// It closes the connection within the response.
+    /// It closes the connection in the middle of the response.
     Cut,
-    /// It answers with status 500.
+    /// It responds with status 500.
     Fail,
-    /// It answers that the request did not run.
+    /// It responds with status 503 and reports that the request did not run.
     Reject,
 }
 
 impl Behaviour {
-    /// Whether an attempt that met it may have run.
+    /// Returns whether an attempt at an endpoint with this behaviour may have run.
     pub fn may_have_run(self) -> bool {
         self != Behaviour::Reject
     }
 }
 
-/// What is at fault.
+/// The kind of a fault: which peer fails, and how.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// A share of the endpoints, 1 for all of them.
+    /// A share of the endpoints fails.
     Endpoints {
-        /// What they do.
+        /// What these endpoints do.
         behaviour: Behaviour,
-        /// Their share.
+        /// The share of the endpoints that fail; 1 for all of them.
         share: f64,
     },
-    /// The counter service withholds its replies.
+    /// The counter service withholds its replies until the fault ends.
     CounterSilent,
     /// The counter service resets every connection.
     CounterReset,
     /// The counter service rejects every call as busy.
     CounterBusy,
-    /// The discovery agent withholds its responses.
+    /// The discovery agent withholds its responses until the fault ends.
     DiscoverySilent,
 }
 
-/// A fault, with times since the start of the load.
+/// A fault of a peer for some time.
 #[derive(Debug, Clone, Serialize)]
 pub struct Fault {
-    /// What is at fault.
+    /// Which peer fails, and how.
     pub kind: FaultKind,
-    /// When it begins, in milliseconds.
+    /// When the fault begins, in milliseconds since the start of the load.
     pub start_ms: u64,
-    /// How long it lasts, in milliseconds.
+    /// How long the fault lasts, in milliseconds.
     pub length_ms: u64,
 }
 
-/// What clients in a flood send on their connections.
+/// What the clients of a flood send on their connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FloodKind {
     /// Nothing.
     Idle,
-    /// A third of them the first bytes of a request, the others nothing.
+    /// A third of the clients send the first bytes of a request, the others nothing.
     PartlyHalfSent,
     /// The first bytes of a request.
     HalfSent,
-    /// A byte of a request now and then.
+    /// A request, byte by byte with pauses.
     Slow,
 }
 
-/// Many connections at once.
+/// A flood: many connections at once.
 #[derive(Debug, Clone, Serialize)]
 pub struct Flood {
-    /// What is sent on them.
+    /// What is sent on the connections.
     pub kind: FloodKind,
-    /// How many there are.
+    /// Number of connections.
     pub count: usize,
-    /// When they connect, in milliseconds since the start of the load.
+    /// When the connections are opened, in milliseconds since the start of the load.
     pub start_ms: u64,
-    /// How many other clients connect beside them.
+    /// Number of other clients that connect during the flood to send one request each.
     pub newcomers: usize,
 }
 
-/// SIGHUP, once or several times in a row.
+/// A reload of the configuration: SIGHUP, sent once or several times in a row.
 #[derive(Debug, Clone, Serialize)]
 pub struct Reload {
-    /// When, in milliseconds since the start of the load.
+    /// When the reload begins, in milliseconds since the start of the load.
     pub at_ms: u64,
-    /// How many signals are sent.
+    /// Number of signals that are sent after the configuration file has been replaced.
     pub signals: u32,
-    /// Discovery is at its other address from then on.
+    /// Whether the configuration names the other one of the two discovery agents from then on.
     pub moves_discovery: bool,
-    /// The file can't be read at the first of the signals.
+    /// Whether an additional signal is sent first, while the file is malformed.
     pub is_spoilt: bool,
 }
 
-/// A signal of the shutdown.
+/// A signal that is sent during the shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ShutdownSignal {
@@ -124,42 +124,42 @@
     Hangup,
 }
 
-/// How the node is shut down.
+/// The signals that shut the node down.
 #[derive(Debug, Clone, Serialize)]
 pub struct Shutdown {
-    /// The signal that begins it.
+    /// The signal that begins the shutdown.
     pub first: ShutdownSignal,
-    /// Signals 0.2 s after one another from then on.
+    /// Further signals, each sent 0.2 s after the one before.
     pub further: Vec<ShutdownSignal>,
-    /// How long new connections are made after the first signal, in milliseconds.
+    /// How long clients still make new connections after the first signal, in milliseconds.
     pub new_connections_ms: u64,
 }
 
-/// What happens in a play.
+/// The plan of a play.
 #[derive(Debug, Clone, Serialize)]
 pub struct Plan {
-    /// The seed that all is drawn from.
+    /// The seed from which everything is drawn.
     pub seed: u64,
-    /// How many endpoints there are.
+    /// Number of endpoints.
     pub endpoints: u32,
-    /// The one class that all requests have; none if they have all classes.
+    /// Index of the class of all requests; `None` if the requests are of all classes.
     pub only_class: Option<usize>,
-    /// Clients that keep their connection.
+    /// Number of clients that send requests one after another and keep their connection.
     pub clients: usize,
-    /// Mean pause of a client between two requests, in milliseconds.
+    /// Mean pause of a client before each of its requests, in milliseconds.
     pub pause_ms: u64,
-    /// What is at fault and when.
+    /// The faults of the peers, which may overlap.
     pub faults: Vec<Fault>,
-    /// A third of the plays have one.
+    /// The flood, which a third of the plays have.
     pub flood: Option<Flood>,
-    /// Configurations that are read anew.
+    /// The reloads of the configuration, not sorted by time.
     pub reloads: Vec<Reload>,
-    /// How the node ends.
+    /// How the node is shut down.
     pub shutdown: Shutdown,
 }
 
 impl Plan {
-    /// Draws the play of a seed.
+    /// Draws the plan of the play with this seed.
     pub fn draw(seed: u64) -> Plan {
         let mut random = StdRng::seed_from_u64(mix(seed, 11));
         let clients = random.random_range(6..24);
@@ -176,7 +176,7 @@
         }
     }
 
-    /// When the last fault has ended, since the start of the load.
+    /// Returns the time from the start of the load to the end of the last fault; zero if there are no faults.
     pub fn last_fault_end(&self) -> Duration {
         let ends = self.faults.iter().map(|fault| fault.start_ms + fault.length_ms);
         Duration::from_millis(ends.max().unwrap_or(0))
@@ -198,7 +198,7 @@
     Fault {
         kind,
         start_ms: random.random_range(500..LAST_FAULT_START_MS),
-        length_ms: random.random_range(FAULT_MS),
+        length_ms: random.random_range(FAULT_LENGTH_MS),
     }
 }
 
@@ -206,7 +206,7 @@
     let kinds = [FloodKind::Idle, FloodKind::PartlyHalfSent, FloodKind::HalfSent, FloodKind::Slow];
     Flood {
         kind: kinds[random.random_range(0..kinds.len())],
-        // Half to 1.2 times as many as the node has descriptors for.
+        // Half to 1.2 times the number of file descriptors that the node may use.
         count: random.random_range(120..310),
         start_ms: random.random_range(300..3_000),
         newcomers: random.random_range(6..40),
--- a/crates/scale-bench/src/soak/play.rs
+++ b/crates/scale-bench/src/soak/play.rs
@@ -1,4 +1,5 @@
-//! One play: a real node, its peers, their faults, its clients and its end.
+//! Runs one play: starts a real node with its peers and clients, carries out the plan, and shuts the node
+//! down.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,7 +17,7 @@
 use super::flood;
 use super::phase::Phase;
 use super::plan::{Fault, FaultKind, Flood, Plan, Reload, Shutdown, ShutdownSignal};
-use super::rules::{Counts, Ledger, Violation, ANSWER_SLACK};
+use super::rules::{Counts, RequestLog, Violation, RESPONSE_SLACK};
 use crate::error::BenchError;
 use crate::fakes::counter_service::{CounterCapacity, CounterMode, CounterService};
 use crate::fakes::discovery_agent::DiscoveryAgent;
@@ -25,37 +26,41 @@
 use crate::node::process::{Process, StartedProcess};
 use crate::node::Options as NodeOptions;
 
-/// How long the node may take to be ready.
+/// Time within which the node has to be ready.
 const READY_LIMIT: Duration = Duration::from_secs(30);
-/// The load lasts at least this long.
-const LEAST_LOAD: Duration = Duration::from_secs(6);
-/// Service has to come back within this time after the last fault.
+/// Minimum duration of the load.
+const MIN_LOAD_TIME: Duration = Duration::from_secs(6);
+/// Time after the last fault within which a request has to be served again.
 const RECOVERY_LIMIT: Duration = Duration::from_secs(10);
+/// Pause between two checks of whether a request has been served again.
 const RECOVERY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// The longest deadline of a client.
+/// Longest deadline of a request.
 const LONGEST_DEADLINE: Duration = Duration::from_secs(3);
-/// A node is killed this long after its signal.
+/// Time from the first signal of the shutdown until the node is killed.
 const KILL_AFTER: Duration = Duration::from_millis(3_700);
-/// Pause between the signals of a shutdown, and of a reload.
+/// Pause between two signals of a shutdown.
 const SHUTDOWN_SIGNAL_PAUSE: Duration = Duration::from_millis(200);
+/// Pause after each signal of a reload.
 const RELOAD_SIGNAL_PAUSE: Duration = Duration::from_millis(5);
-/// A flood's effect on other clients lasts this long after its end.
-const FLOOD_AFTERMATH: Duration = Duration::from_secs(1);
-/// How often it is measured how late this process is.
+/// Time after the end of a flood during which it still affects other clients.
+const FLOOD_EFFECT_TIME: Duration = Duration::from_secs(1);
+/// Interval of the timer that measures how late the timers of this process fire.
 const LATENESS_INTERVAL: Duration = Duration::from_millis(10);
-/// A play in which this process was later than this shows nothing of the node.
+/// If a timer of this process fired later than this, the play says nothing about the node and counts as
+/// disturbed.
 const MAX_LATENESS: Duration = Duration::from_millis(50);
-/// Clients that connect for one request beside a flood have numbers from here on.
-const FIRST_NEWCOMER: u64 = 1_000;
-/// Quota of an account of the plan with one: units a second, and at once.
+/// Number of the first client that connects for one request during a flood; the further ones follow.
+const FIRST_NEWCOMER_NUMBER: u64 = 1_000;
+/// Quota of an account whose plan has one, in units per second, and its burst, in units.
 const QUOTA_UNITS: f64 = 50.0;
-/// Calls a second that the counter service takes.
+/// Calls per second that the counter service accepts.
 const COUNTER_CALLS_PER_SECOND: f64 = 800.0;
+/// Time that each reply of the counter service takes.
 const COUNTER_DELAY: Duration = Duration::from_millis(1);
-/// Descriptors of the node.
+/// File descriptors that the node may use.
 const NODE_DESCRIPTORS: u32 = 256;
 
-/// What a play has shown.
+/// The outcome of a play.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
@@ -63,24 +68,25 @@
     Passed,
     /// A rule was broken.
     Failed,
-    /// The machine was too slow for the play to show anything.
+    /// The machine was too slow for the play to say anything about the node, whether or not a rule was
+    /// broken.
     Disturbed,
 }
 
-/// A play's plan and result.
+/// The plan and the result of a play.
 #[derive(Debug, Clone, Serialize)]
 pub struct PlayResult {
-    /// Its seed.
+    /// The seed of the play.
     pub seed: u64,
-    /// What it has shown.
+    /// The outcome of the play.
     pub verdict: Verdict,
-    /// The rules that were broken.
+    /// The violations of rules; empty if no rule was broken.
     pub violations: Vec<Violation>,
-    /// How the requests ended.
+    /// Number of requests by the way in which they ended.
     pub counts: Counts,
-    /// How late this process was at most, in milliseconds.
+    /// Greatest lateness of a timer of this process, in milliseconds.
     pub lateness_ms: u64,
-    /// What was drawn from the seed.
+    /// The plan drawn from the seed.
     pub plan: Plan,
 }
 
@@ -88,18 +94,18 @@
 struct Peers {
     endpoints: Arc<FaultyEndpoints>,
     counter: Arc<CounterService>,
-    /// Two addresses of discovery with the same list.
+    /// Two discovery agents with the same list. The configuration names one of them.
     agents: [Arc<DiscoveryAgent>; 2],
 }
 
-/// The node's configuration file, and what it is made from.
+/// The node's configuration file, and the options and endpoint list from which it is written.
 struct Configuration {
     options: NodeOptions,
     list: ListShape,
     file: NamedTempFile,
 }
 
-/// A play under way.
+/// A play that is under way.
 struct Play<'a> {
     plan: &'a Plan,
     peers: Peers,
@@ -109,16 +115,16 @@
     load_start: Instant,
 }
 
-/// Makes the play of a seed.
+/// Runs the play with this seed and returns its result.
 ///
 /// # Errors
-/// If the peers or the node can't be started.
+/// If the peers or the node can't be started, or the configuration file can't be written.
 pub async fn run(seed: u64, program: &Path) -> Result<PlayResult, BenchError> {
     let plan = Plan::draw(seed);
-    let ledger = Arc::<Ledger>::default();
+    let request_log = Arc::<RequestLog>::default();
     let lateness = LatenessMeter::start();
-    let mut violations = Play::start(&plan, program, ledger.clone()).await?.run().await?;
-    violations.extend(ledger.violations());
+    let mut violations = Play::start(&plan, program, request_log.clone()).await?.run().await?;
+    violations.extend(request_log.violations());
     let lateness = lateness.greatest();
     let verdict = match violations.is_empty() {
         _ if lateness > MAX_LATENESS => Verdict::Disturbed,
@@ -126,12 +132,17 @@
         false => Verdict::Failed,
     };
     let lateness_ms = lateness.as_millis() as u64;
-    Ok(PlayResult { seed, verdict, violations, counts: ledger.counts(), lateness_ms, plan })
+    Ok(PlayResult { seed, verdict, violations, counts: request_log.counts(), lateness_ms, plan })
 }
 
 impl<'a> Play<'a> {
-    async fn start(plan: &'a Plan, program: &Path, ledger: Arc<Ledger>) -> Result<Play<'a>, BenchError> {
-        let endpoints = FaultyEndpoints::start(plan.seed, ledger.clone())
+    /// Starts the peers and the node, and waits until the node is ready.
+    async fn start(
+        plan: &'a Plan,
+        program: &Path,
+        request_log: Arc<RequestLog>,
+    ) -> Result<Play<'a>, BenchError> {
+        let endpoints = FaultyEndpoints::start(plan.seed, request_log.clone())
             .map_err(|source| system_error("cannot listen for endpoints", source))?;
         let list = ListShape {
             endpoints: plan.endpoints,
@@ -152,7 +163,7 @@
             seed: plan.seed,
             only_class: plan.only_class,
             pause: Duration::from_millis(plan.pause_ms),
-            ledger,
+            request_log,
             phase: Arc::<Phase>::default(),
         };
         let configuration = Configuration { options, list, file };
@@ -160,34 +171,35 @@
         Ok(Play { plan, peers, configuration, process, setup: Arc::new(setup), load_start })
     }
 
-    /// Runs the play to its end. Returns the rules that no single request shows to be broken.
+    /// Carries out the plan to its end. Returns the violations that don't concern a single request.
     async fn run(mut self) -> Result<Vec<Violation>, BenchError> {
         let mut clients = JoinSet::new();
         for number in 0..self.plan.clients {
             clients.spawn(Client::new(self.setup.clone(), number as u64).run());
         }
         let (recovery, bad_clients, ()) = {
-            let recovered = self.service_comes_back();
-            let flood = self.flood();
-            let disturbances = async { tokio::join!(self.faults(), self.reloads()) };
+            let recovered = self.wait_for_recovery();
+            let flood = self.run_flood();
+            let disturbances = async { tokio::join!(self.run_faults(), self.run_reloads()) };
             let (recovery, bad_clients, (_, reloads)) = tokio::join!(recovered, flood, disturbances);
             (recovery, bad_clients, reloads?)
         };
         let mut violations: Vec<Violation> = recovery.into_iter().chain(bad_clients).collect();
         violations.extend(self.shut_down().await);
         self.setup.phase.end();
-        // Those that still wait for an answer have a deadline.
-        let longest_wait = LONGEST_DEADLINE + ANSWER_SLACK + Duration::from_secs(1);
+        // Clients that still wait for a response stop waiting after their deadline.
+        let longest_wait = LONGEST_DEADLINE + RESPONSE_SLACK + Duration::from_secs(1);
         let _ = timeout(longest_wait, async { while clients.join_next().await.is_some() {} }).await;
         Ok(violations)
     }
 
-    /// Waits until the load has lasted long enough and service has come back after the last fault.
-    async fn service_comes_back(&self) -> Option<Violation> {
-        let healed_at = self.load_start + self.plan.last_fault_end();
-        sleep_until(healed_at.max(self.load_start + LEAST_LOAD)).await;
-        while Instant::now() < healed_at + RECOVERY_LIMIT {
-            if self.setup.ledger.has_served_since(healed_at) {
+    /// Waits until the load has lasted for its minimum duration and a request that was sent after the last
+    /// fault has been served. Returns a violation if that takes too long.
+    async fn wait_for_recovery(&self) -> Option<Violation> {
+        let faults_end_at = self.load_start + self.plan.last_fault_end();
+        sleep_until(faults_end_at.max(self.load_start + MIN_LOAD_TIME)).await;
+        while Instant::now() < faults_end_at + RECOVERY_LIMIT {
+            if self.setup.request_log.has_served_since(faults_end_at) {
                 return None;
             }
             sleep(RECOVERY_CHECK_INTERVAL).await;
@@ -195,7 +207,8 @@
         Some(Violation::NotRecovered { within_ms: RECOVERY_LIMIT.as_millis() as u64 })
     }
 
-    async fn faults(&self) {
+    /// Runs all faults of the plan and waits until they have ended.
+    async fn run_faults(&self) {
         let mut faults = JoinSet::new();
         for fault in &self.plan.faults {
             let endpoints = self.peers.endpoints.clone();
@@ -211,21 +224,23 @@
         while faults.join_next().await.is_some() {}
     }
 
-    async fn flood(&self) -> Option<Violation> {
+    /// Runs the flood of the plan, if it has one, together with the newcomers. Returns a violation if the
+    /// node has not given up clients that sent a part of a request.
+    async fn run_flood(&self) -> Option<Violation> {
         let flood = self.plan.flood.as_ref()?;
         sleep_until(self.load_start + Duration::from_millis(flood.start_ms)).await;
-        self.setup.phase.flood_until(Instant::now() + flood::STAY + FLOOD_AFTERMATH);
-        let newcomers = self.newcomers(flood);
+        self.setup.phase.begin_flood(Instant::now() + flood::CONNECTION_TIME + FLOOD_EFFECT_TIME);
+        let newcomers = self.start_newcomers(flood);
         let clients = flood::run(flood, self.setup.address).await;
         newcomers.join_all().await;
         (clients > 0).then_some(Violation::BadClientsHeld { clients })
     }
 
-    /// Clients that connect beside the flood, each for one request.
-    fn newcomers(&self, flood: &Flood) -> JoinSet<()> {
+    /// Starts the clients that connect during the flood, each for one request.
+    fn start_newcomers(&self, flood: &Flood) -> JoinSet<()> {
         let mut newcomers = JoinSet::new();
         for number in 0..flood.newcomers as u64 {
-            let client = Client::new(self.setup.clone(), FIRST_NEWCOMER + number);
+            let client = Client::new(self.setup.clone(), FIRST_NEWCOMER_NUMBER + number);
             newcomers.spawn(async move {
                 sleep(Duration::from_millis(60 + number * 10)).await;
                 client.run_once().await;
@@ -234,14 +249,15 @@
         newcomers
     }
 
-    async fn reloads(&self) -> Result<(), BenchError> {
+    /// Carries out the reloads of the plan in the order of their times.
+    async fn run_reloads(&self) -> Result<(), BenchError> {
         let mut reloads: Vec<&Reload> = self.plan.reloads.iter().collect();
         reloads.sort_by_key(|reload| reload.at_ms);
         let mut agent = 0;
         for reload in reloads {
             sleep_until(self.load_start + Duration::from_millis(reload.at_ms)).await;
             if reload.is_spoilt {
-                self.configuration.spoil()?;
+                self.configuration.write_malformed()?;
                 self.process.signal(Signal::HUP);
                 sleep(RELOAD_SIGNAL_PAUSE).await;
             }
@@ -255,11 +271,12 @@
         Ok(())
     }
 
-    /// Shuts the node down and kills it at the earliest time at which that may be. Returns what its process did wrong.
+    /// Shuts the node down, and kills it at the earliest time at which it may be killed if it still runs
+    /// then. Returns violations for an exit with an error and for a panic.
     async fn shut_down(&mut self) -> Vec<Violation> {
         let Shutdown { first, further, new_connections_ms } = &self.plan.shutdown;
         let kill_at = Instant::now() + KILL_AFTER;
-        self.setup.phase.shutdown_begins(Instant::now() + Duration::from_millis(*new_connections_ms));
+        self.setup.phase.begin_shutdown(Instant::now() + Duration::from_millis(*new_connections_ms));
         self.process.signal(signal(*first));
         for further in further {
             sleep(SHUTDOWN_SIGNAL_PAUSE).await;
@@ -279,22 +296,23 @@
 impl Peers {
     async fn start(list: &ListShape, endpoints: Arc<FaultyEndpoints>) -> Result<Peers, BenchError> {
         let agent = || DiscoveryAgent::start(EndpointList::new(list.clone()), false);
-        let failed = |source| system_error("cannot listen for the agent", source);
+        let failed = |source| system_error("cannot listen for the discovery agent", source);
         let agents = [agent().await.map_err(failed)?, agent().await.map_err(failed)?];
         let capacity = CounterCapacity { calls_per_second: COUNTER_CALLS_PER_SECOND, delay: COUNTER_DELAY };
         let counter = CounterService::start(capacity).await;
-        let counter = counter.map_err(|source| system_error("cannot listen for the counter", source))?;
+        let counter =
+            counter.map_err(|source| system_error("cannot listen for the counter service", source))?;
         Ok(Peers { endpoints, counter, agents })
     }
 
-    /// Where the node finds its services, with this one of the agents.
+    /// Returns the addresses of the node's peers, with the discovery agent of this index.
     fn addresses(&self, agent: usize) -> PeerAddresses {
         PeerAddresses { agent: self.agents[agent].address(), counter: self.counter.address() }
     }
 }
 
 impl Configuration {
-    /// Puts a file in its place that leads to these addresses.
+    /// Replaces the file with a configuration that has these addresses of peers.
     fn replace(&self, peers: PeerAddresses) -> Result<(), BenchError> {
         let list = EndpointList::new(self.list.clone()).snapshot();
         let next = configuration::write(&self.options, peers, list)?;
@@ -302,8 +320,8 @@
         replaced.map(drop).map_err(|error| self.file_error(error.error))
     }
 
-    /// Makes the file one that can't be read.
-    fn spoil(&self) -> Result<(), BenchError> {
+    /// Overwrites the file with malformed JSON.
+    fn write_malformed(&self) -> Result<(), BenchError> {
         std::fs::write(self.file.path(), "{\"name\": ").map_err(|source| self.file_error(source))
     }
 
@@ -312,6 +330,7 @@
     }
 }
 
+/// Waits for the start of a fault, begins it and ends it.
 async fn run_fault(
     fault: Fault,
     load_start: Instant,
@@ -325,13 +344,13 @@
     match fault.kind {
         FaultKind::Endpoints { behaviour, share } => {
             let fault = EndpointFault { behaviour, share };
-            endpoints.begin(fault);
+            endpoints.begin_fault(fault);
             sleep_until(end).await;
-            endpoints.end(fault);
+            endpoints.end_fault(fault);
         }
-        FaultKind::CounterSilent => counter_fault(&counter, CounterMode::Silent, end).await,
-        FaultKind::CounterReset => counter_fault(&counter, CounterMode::Resetting, end).await,
-        FaultKind::CounterBusy => counter_fault(&counter, CounterMode::Busy, end).await,
+        FaultKind::CounterSilent => run_counter_fault(&counter, CounterMode::Silent, end).await,
+        FaultKind::CounterReset => run_counter_fault(&counter, CounterMode::Resetting, end).await,
+        FaultKind::CounterBusy => run_counter_fault(&counter, CounterMode::Busy, end).await,
         FaultKind::DiscoverySilent => {
             set_silent(&agents, true);
             sleep_until(end).await;
@@ -346,7 +365,7 @@
     }
 }
 
-async fn counter_fault(counter: &CounterService, mode: CounterMode, end: Instant) {
+async fn run_counter_fault(counter: &CounterService, mode: CounterMode, end: Instant) {
     counter.set_mode(mode);
     sleep_until(end).await;
     counter.set_mode(CounterMode::Serving);
@@ -379,8 +398,9 @@
     BenchError::System { what, source }
 }
 
-/// Measures how late this process is.
+/// Measures how late the timers of this process fire.
 struct LatenessMeter {
+    /// Greatest lateness so far, in microseconds.
     greatest_us: Arc<AtomicU64>,
     task: JoinHandle<()>,
 }
@@ -399,6 +419,7 @@
         LatenessMeter { greatest_us, task }
     }
 
+    /// Stops the measurement and returns the greatest lateness.
     fn greatest(self) -> Duration {
         self.task.abort();
         Duration::from_micros(self.greatest_us.load(Ordering::Relaxed))
--- a/crates/scale-bench/src/soak/rules.rs
+++ b/crates/scale-bench/src/soak/rules.rs
@@ -1,4 +1,4 @@
-//! What is known of each request of a play, and the rules that it is checked by.
+//! Records the requests of a play and their attempts, and checks them against the rules of the service.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -10,79 +10,80 @@
 use super::plan::Behaviour;
 use crate::fakes::lock;
 
-/// A request may get its answer this long after its deadline.
-pub const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// No attempt begins this long after its client has closed. Beyond the rule of 0.1 s it holds what a play may be late.
-const ATTEMPT_AFTER_CLOSE: Duration = Duration::from_millis(150);
+/// Time after a request's deadline within which its response may still arrive.
+pub const RESPONSE_SLACK: Duration = Duration::from_millis(500);
+/// An attempt that arrives later than this after its client has closed is a violation. The rule itself allows
+/// 0.1 s; the rest is the lateness that a play may have.
+const MAX_ATTEMPT_DELAY_AFTER_CLOSE: Duration = Duration::from_millis(150);
 
-/// A rule that was broken.
+/// A violation of a rule of the service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, thiserror::Error)]
 #[serde(tag = "rule", rename_all = "snake_case")]
 pub enum Violation {
-    /// A request was not answered in time.
-    #[error("{id}: no answer in {time_ms} ms, {attempts} attempts")]
+    /// A request got no response in time.
+    #[error("{id}: no response within {time_ms} ms, {attempts} attempts")]
     NoAnswer {
-        /// The request.
+        /// Id of the request.
         id: String,
-        /// Its deadline and the slack, in milliseconds.
+        /// The request's deadline plus `RESPONSE_SLACK`, in milliseconds.
         time_ms: u64,
-        /// Its attempts.
+        /// Number of attempts of the request that arrived at endpoints.
         attempts: usize,
     },
-    /// A connection was closed over a request that was read.
-    #[error("{id}: its connection was closed without an answer, {attempts} attempts")]
+    /// The node closed a connection without a response to a request that it had read, or had to read.
+    #[error("{id}: the node closed the connection without a response, {attempts} attempts")]
     ClosedWithoutAnswer {
-        /// The request.
+        /// Id of the request.
         id: String,
-        /// Its attempts.
+        /// Number of attempts of the request that arrived at endpoints.
         attempts: usize,
     },
-    /// An answer was cut off.
-    #[error("{id}: its answer is incomplete")]
+    /// A response was cut off or malformed.
+    #[error("{id}: the response is incomplete")]
     IncompleteAnswer {
-        /// The request.
+        /// Id of the request.
         id: String,
     },
-    /// A body is not that of an endpoint's response to the request.
-    #[error("{id}: the body is another's: {body}")]
+    /// The body of a response with status 200 is not the one that an endpoint sends for the request.
+    #[error("{id}: the body does not belong to this request: {body}")]
     WrongBody {
-        /// The request.
+        /// Id of the request.
         id: String,
-        /// The first bytes of the body.
+        /// The first 40 bytes of the body, at most.
         body: String,
     },
-    /// An attempt began after its client had closed.
-    #[error("{id}: an attempt began {after_ms} ms after its client had closed")]
+    /// An attempt began too long after the request's client had closed its connection.
+    #[error("{id}: an attempt began {after_ms} ms after the client had closed the connection")]
     AttemptAfterClose {
-        /// The request.
+        /// Id of the request.
         id: String,
-        /// How long after.
+        /// Time from the client's close to the latest attempt, in milliseconds.
         after_ms: u64,
     },
-    /// A non-idempotent request that may have run was sent again.
-    #[error("{id}: sent {attempts} times though an earlier attempt may have run")]
+    /// A non-idempotent request was sent again although an earlier attempt may have run.
+    #[error("{id}: non-idempotent but sent {attempts} times although an earlier attempt may have run")]
     SentTwice {
-        /// The request.
+        /// Id of the request.
         id: String,
-        /// Its attempts.
+        /// Number of attempts of the request that arrived at endpoints.
         attempts: usize,
     },
-    /// Service did not come back after the last fault.
-    #[error("nothing served within {within_ms} ms after the last fault")]
+    /// No request was served in time after the last fault.
+    #[error("no request was served within {within_ms} ms after the last fault")]
     NotRecovered {
-        /// How long was waited.
+        /// Time within which a request had to be served, in milliseconds.
         within_ms: u64,
     },
-    /// A client that never completed its request was not given up.
-    #[error("{clients} clients with half a request were neither answered nor closed")]
+    /// The node did not give up clients that never completed their request.
+    #[error("{clients} clients that sent a part of a request were neither answered nor closed in time")]
     BadClientsHeld {
-        /// How many.
+        /// Number of these clients.
         clients: usize,
     },
-    /// The process panicked, crashed or ended with an error.
+    /// The node's process panicked, crashed or ended with an error.
     #[error("the node: {what}")]
     Process {
-        /// What happened.
+        /// The exit status, or the line of the log that reports the panic.
         what: String,
     },
 }
@@ -90,33 +91,35 @@
 /// How a request ended for its client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Ending {
-    /// With this status and body.
+    /// The response was received completely.
     Answered {
-        /// The status.
+        /// The status of the response.
         status: u16,
-        /// The body.
+        /// The body of the response.
         body: Vec<u8>,
     },
-    /// The connection ended without a byte of an answer. It is excused if the node may close it then.
+    /// The connection ended before the first byte of a response.
     Closed {
-        /// Whether the request may have been left unread.
+        /// Whether the node was permitted to close the connection without reading the request.
         may_be_unread: bool,
     },
-    /// The connection ended within the answer.
+    /// The connection ended in the middle of the response, or the response was malformed.
     Incomplete,
-    /// Not in time.
-    Late,
-    /// The client closed first, at this time.
-    Left {
-        /// When.
+    /// No complete response was received in time.
+    TimedOut,
+    /// The client closed the connection before the response.
+    ClosedByClient {
+        /// When the client closed it.
         at: Instant,
     },
 }
 
-/// An attempt as its endpoint saw it.
+/// An attempt that arrived at an endpoint.
 #[derive(Debug, Clone, Copy)]
-struct SeenAttempt {
+struct ReceivedAttempt {
+    /// When the attempt arrived.
     at: Instant,
+    /// What the endpoint does with it.
     behaviour: Behaviour,
 }
 
@@ -126,57 +129,60 @@
     is_idempotent: bool,
     deadline: Duration,
     sent_at: Instant,
+    /// How the request ended; `None` until then.
     ending: Option<Ending>,
 }
 
+/// Requests and their attempts, by request id.
 #[derive(Default)]
 struct Records {
     requests: HashMap<String, SentRequest>,
-    attempts: HashMap<String, Vec<SeenAttempt>>,
+    attempts: HashMap<String, Vec<ReceivedAttempt>>,
 }
 
-/// All requests of a play and their attempts.
+/// Log of all requests of a play and their attempts.
 #[derive(Default)]
-pub struct Ledger {
+pub struct RequestLog {
     records: Mutex<Records>,
 }
 
-/// How many requests ended in each way.
+/// Number of requests by the way in which they ended.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct Counts {
-    /// All that were sent.
+    /// Requests that were sent.
     pub requests: usize,
-    /// With status 200.
+    /// Requests that got a response with status 200.
     pub served: usize,
-    /// With another status.
+    /// Requests that got a response with another status.
     pub not_served: usize,
-    /// Whose connection was closed when it may be.
+    /// Requests whose connection was closed without a response. Those closes that no rule permits are counted
+    /// here, too.
     pub excused: usize,
-    /// Whose client left.
+    /// Requests whose client closed the connection before the response.
     pub left: usize,
 }
 
-impl Ledger {
-    /// A client begins to send a request.
-    pub fn sent(&self, id: &str, is_idempotent: bool, deadline: Duration) {
+impl RequestLog {
+    /// Records that a client begins to send a request, with the time that its client waits.
+    pub fn record_sent(&self, id: &str, is_idempotent: bool, deadline: Duration) {
         let request = SentRequest { is_idempotent, deadline, sent_at: Instant::now(), ending: None };
         lock(&self.records).requests.insert(id.to_owned(), request);
     }
 
-    /// A request has ended for its client.
-    pub fn ended(&self, id: &str, ending: Ending) {
+    /// Records how a request has ended for its client.
+    pub fn record_ending(&self, id: &str, ending: Ending) {
         if let Some(request) = lock(&self.records).requests.get_mut(id) {
             request.ending = Some(ending);
         }
     }
 
-    /// An attempt has arrived at an endpoint.
-    pub fn attempted(&self, id: &str, behaviour: Behaviour) {
-        let attempt = SeenAttempt { at: Instant::now(), behaviour };
+    /// Records that an attempt has arrived at an endpoint, and what the endpoint does with it.
+    pub fn record_attempt(&self, id: &str, behaviour: Behaviour) {
+        let attempt = ReceivedAttempt { at: Instant::now(), behaviour };
         lock(&self.records).attempts.entry(id.to_owned()).or_default().push(attempt);
     }
 
-    /// Whether a request sent at `since` or later was served.
+    /// Returns whether a request that was sent at `since` or later got a response with status 200.
     pub fn has_served_since(&self, since: Instant) -> bool {
         let is_served = |request: &SentRequest| {
             request.sent_at >= since && matches!(request.ending, Some(Ending::Answered { status: 200, .. }))
@@ -184,7 +190,7 @@
         lock(&self.records).requests.values().any(is_served)
     }
 
-    /// How the requests ended.
+    /// Returns the number of requests by the way in which they ended.
     pub fn counts(&self) -> Counts {
         let records = lock(&self.records);
         let mut counts = Counts { requests: records.requests.len(), ..Counts::default() };
@@ -193,14 +199,14 @@
                 Some(Ending::Answered { status: 200, .. }) => counts.served += 1,
                 Some(Ending::Answered { .. }) => counts.not_served += 1,
                 Some(Ending::Closed { .. }) => counts.excused += 1,
-                Some(Ending::Left { .. }) => counts.left += 1,
-                Some(Ending::Incomplete | Ending::Late) | None => {}
+                Some(Ending::ClosedByClient { .. }) => counts.left += 1,
+                Some(Ending::Incomplete | Ending::TimedOut) | None => {}
             }
         }
         counts
     }
 
-    /// The rules that requests broke, in the order of their ids.
+    /// Returns the violations by requests, in the order of the requests' ids.
     pub fn violations(&self) -> Vec<Violation> {
         let records = lock(&self.records);
         let mut ids: Vec<&String> = records.requests.keys().collect();
@@ -220,7 +226,8 @@
     }
 }
 
-fn ending_violation(id: &str, request: &SentRequest, attempts: &[SeenAttempt]) -> Option<Violation> {
+/// Checks how the request ended for its client.
+fn ending_violation(id: &str, request: &SentRequest, attempts: &[ReceivedAttempt]) -> Option<Violation> {
     let id = id.to_owned();
     let attempts = attempts.len();
     match request.ending.as_ref()? {
@@ -228,30 +235,36 @@
             let body = String::from_utf8_lossy(&body[..body.len().min(40)]).into_owned();
             Some(Violation::WrongBody { id, body })
         }
-        // What was sent on was read.
+        // A request with an attempt was read by the node, so closing its connection is never permitted.
         Ending::Closed { may_be_unread } if !may_be_unread || attempts > 0 => {
             Some(Violation::ClosedWithoutAnswer { id, attempts })
         }
         Ending::Incomplete => Some(Violation::IncompleteAnswer { id }),
-        Ending::Late => {
-            let time_ms = (request.deadline + ANSWER_SLACK).as_millis() as u64;
+        Ending::TimedOut => {
+            let time_ms = (request.deadline + RESPONSE_SLACK).as_millis() as u64;
             Some(Violation::NoAnswer { id, time_ms, attempts })
         }
-        Ending::Answered { .. } | Ending::Closed { .. } | Ending::Left { .. } => None,
+        Ending::Answered { .. } | Ending::Closed { .. } | Ending::ClosedByClient { .. } => None,
     }
 }
 
-fn repeat_violation(id: &str, request: &SentRequest, attempts: &[SeenAttempt]) -> Option<Violation> {
+/// Checks that a non-idempotent request was not sent again after an attempt that may have run.
+fn repeat_violation(id: &str, request: &SentRequest, attempts: &[ReceivedAttempt]) -> Option<Violation> {
     let earlier = attempts.split_last().map_or(&[][..], |(_, earlier)| earlier);
     let may_have_run = earlier.iter().any(|attempt| attempt.behaviour.may_have_run());
     (!request.is_idempotent && may_have_run)
         .then(|| Violation::SentTwice { id: id.to_owned(), attempts: attempts.len() })
 }
 
-fn late_attempt_violation(id: &str, request: &SentRequest, attempts: &[SeenAttempt]) -> Option<Violation> {
-    let Some(Ending::Left { at }) = request.ending else { return None };
+/// Checks that no attempt began too long after the client had closed its connection.
+fn late_attempt_violation(
+    id: &str,
+    request: &SentRequest,
+    attempts: &[ReceivedAttempt],
+) -> Option<Violation> {
+    let Some(Ending::ClosedByClient { at }) = request.ending else { return None };
     let latest = attempts.iter().map(|attempt| attempt.at).max()?;
     let after = latest.saturating_duration_since(at);
-    (after > ATTEMPT_AFTER_CLOSE)
+    (after > MAX_ATTEMPT_DELAY_AFTER_CLOSE)
         .then(|| Violation::AttemptAfterClose { id: id.to_owned(), after_ms: after.as_millis() as u64 })
 }
