--- a/src/app.rs
+++ b/src/app.rs
@@ -1,5 +1,5 @@
-//! One node as a process: builds its parts, runs them, reloads the configuration on SIGHUP and shuts down by the
-//! schedule on SIGTERM or SIGINT.
+//! Runs one node as a process: builds the node's parts, rereads the addresses of its services on SIGHUP, and
+//! shuts down gracefully on SIGTERM or SIGINT.
 
 use std::future::Future;
 use std::io;
@@ -28,34 +28,36 @@
 use crate::net::upstream::Upstreams;
 use crate::protocol::settings::SettingsDocument;
 
-/// How often a node that shuts down checks whether everything is answered.
+/// Interval at which a node that is shutting down checks whether it is drained.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// How many connections the kernel holds that are not accepted yet.
+/// Maximum number of connections that the kernel queues before the node accepts them.
 const LISTEN_BACKLOG: u32 = 1024;
 
 /// Why the node could not start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// There is no usable configuration.
+    /// The configuration can't be loaded.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The address to listen on can't be used.
+    /// The node can't listen on the configured address.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The address from the configuration.
         address: SocketAddr,
-        /// What the system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The system denies the runtime, a signal handler or the limit of descriptors.
+    /// The operating system refused to set up the async runtime, a signal handler or the limit of file
+    /// descriptors, or to report the address that the listener is bound to.
     #[error("cannot start: {0}")]
     System(#[source] io::Error),
 }
 
-/// Runs the node that the environment's configuration describes, until a signal ends it.
+/// Runs a node with the configuration file that the environment names. Returns after a graceful shutdown,
+/// which SIGTERM or SIGINT starts.
 ///
 /// # Errors
-/// If the node can't start. A node that has started ends without an error.
+/// If the node can't start. Once the node has started, no error is returned.
 pub fn run() -> Result<(), StartError> {
     let config_path = config::path_from_environment()?;
     let config = Config::load(&config_path)?;
@@ -84,7 +86,7 @@
     Ok(())
 }
 
-/// The signals that the process handles.
+/// The signals that the process handles: SIGHUP, SIGTERM and SIGINT.
 struct Signals {
     hangup: Signal,
     terminate: Signal,
@@ -102,6 +104,7 @@
     }
 }
 
+/// Returns once one of the two signals is received.
 async fn wait_for_either(first: &mut Signal, second: &mut Signal) {
     tokio::select! {
         _ = first.recv() => {}
@@ -109,7 +112,8 @@
     }
 }
 
-/// The budget for as many descriptors as the system allows, up to this number.
+/// Raises the process's limit of file descriptors towards `max_descriptors`, as far as the operating system
+/// allows. Returns a budget of the resulting limit, which is at most `max_descriptors`.
 fn descriptor_budget(max_descriptors: usize) -> Result<Rc<DescriptorBudget>, StartError> {
     let allowed = rlimit::increase_nofile_limit(max_descriptors as u64).map_err(StartError::System)?;
     Ok(DescriptorBudget::new(max_descriptors.min(allowed as usize)))
@@ -162,8 +166,11 @@
         Node { event_loop, discovery, counter, downstream, budget, shutdown_schedule, polls_endpoint_list }
     }
 
-    /// Accepts clients until the listener closes. Where an agent pushes the endpoint list, the first clients wait for
-    /// it. Where nodes poll a shared service, their first calls are spread over time, so clients don't wait.
+    /// Accepts clients until the listener closes.
+    ///
+    /// If an agent pushes the endpoint list, the first clients are accepted only after the list has arrived
+    /// or the wait for it has timed out. If the nodes poll a shared service, clients are accepted at once,
+    /// because the first calls of the nodes to that service are spread over time.
     fn accept(&self, listener: TcpListener) -> impl Future<Output = ()> + 'static {
         let discovery = self.discovery.clone();
         let polls_endpoint_list = self.polls_endpoint_list;
@@ -189,11 +196,12 @@
         }
     }
 
-    /// Shuts down by the schedule: closes idle connections, then the listener, fails what is still unanswered, and
-    /// returns once everything is answered and written, or its time is up.
+    /// Performs a graceful shutdown by the schedule: closes idle connections, then closes the listener, then
+    /// fails the requests that have no final response. Returns once every request is answered and every
+    /// response is written, and at the schedule's `exit_at` at the latest.
     ///
-    /// Idle connections are closed a second time with the listener, for those that clients opened in between. From
-    /// then on the node returns early once it is drained.
+    /// Idle connections are closed a second time after the listener, because clients may have opened new ones
+    /// in between. From then on, the remaining steps are cut short as soon as the node is drained.
     async fn shut_down(&self, accepting: &JoinHandle<()>) {
         let started_at = Instant::now();
         let schedule = &self.shutdown_schedule;
@@ -209,15 +217,15 @@
         self.drain_until(started_at + schedule.exit_at, accepting).await;
     }
 
-    /// Returns once the node is drained, at this time at the latest.
+    /// Returns once the node is drained, and at `limit` at the latest.
     async fn drain_until(&self, limit: Instant, accepting: &JoinHandle<()>) {
         while !self.is_drained(accepting) && Instant::now() < limit {
             sleep(DRAIN_CHECK_INTERVAL).await;
         }
     }
 
-    /// Whether the listener is done with its backlog, no client is connected or still waits for a response, and the
-    /// counter's calls have ended.
+    /// Returns whether the node has accepted all connections in the listener's backlog, no client is
+    /// connected or waits for a response, and all calls to the counter service have ended.
     fn is_drained(&self, accepting: &JoinHandle<()>) -> bool {
         accepting.is_finished()
             && !self.event_loop.has_waiting_clients()
@@ -226,13 +234,15 @@
     }
 }
 
-/// The longest total time-out of all classes, which [`ShutdownSchedule`] counts as 3 s at most.
+/// Returns the longest total time-out of all request classes, or zero if there is no class.
+/// [`ShutdownSchedule`] treats values above 3 s as 3 s.
 fn longest_total_timeout(settings: &Settings) -> Duration {
     let longest = settings.classes.iter().map(|class| class.total_timeout).max();
     Duration::from_micros(longest.unwrap_or(0))
 }
 
-/// Reads the addresses of discovery and the counter service anew on each SIGHUP, also during shutdown.
+/// Rereads the addresses of discovery and the counter service from the configuration file on each SIGHUP,
+/// also during a graceful shutdown.
 struct Reloader {
     hangup: Signal,
     config_path: String,
--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -1,6 +1,7 @@
-//! The simulator adapter: decision engines on standard input and output, one line in and one line out.
+//! The simulator adapter: runs the decision engines of simulated nodes. It reads one batch of messages from
+//! each line of standard input and writes one line of replies to standard output.
 //!
-//! Exits with 1, and one line on standard error, at the first message that it can't take.
+//! At the first batch that it can't handle, it writes one line to standard error and exits with code 1.
 #![forbid(unsafe_code)]
 
 use std::io::{self, BufWriter};
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file of a node, as typed settings.
+//! Loads the configuration file of a node and validates its addresses and its seed.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,68 +12,71 @@
 /// The environment variable that names the configuration file.
 const PATH_VARIABLE: &str = "PROXY_CONFIG";
 
-/// Why there is no usable configuration.
+/// Why the configuration can't be loaded.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The environment names no configuration file.
-    #[error("{PATH_VARIABLE} names no configuration")]
+    /// The environment variable with the path of the configuration file is not set, or is not valid UTF-8.
+    #[error("the environment variable {PATH_VARIABLE} does not name a configuration file")]
     NoPath,
-    /// The file can't be read.
-    #[error("cannot read {path}: {source}")]
+    /// The configuration file can't be read.
+    #[error("cannot read the configuration file {path}: {source}")]
     Unreadable {
         /// Path of the file.
         path: String,
-        /// What the system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file is not the JSON expected.
+    /// The file is not valid JSON, or a required field is missing or has the wrong type.
     #[error("the configuration is malformed: {0}")]
     Malformed(#[source] serde_json::Error),
-    /// A setting is not an address and port.
-    #[error("{setting}: {text:?} is no address")]
+    /// A setting that holds an address is not an IP address with a port.
+    #[error("{setting}: {text:?} is not an IP address with a port")]
     Address {
-        /// The setting.
+        /// Name of the setting in the configuration file.
         setting: &'static str,
-        /// Its value.
+        /// Value of the setting.
         text: String,
     },
-    /// The seed is not a number.
-    #[error("seed: {0:?} is no hexadecimal number of 64 bits")]
+    /// The seed is not a hexadecimal number of at most 64 bits. Holds the text that the file gives.
+    #[error("seed: {0:?} is not a hexadecimal number of at most 64 bits")]
     Seed(String),
 }
 
 /// The configuration that a node starts with.
 pub struct Config {
-    /// Where the node accepts connections.
+    /// Address on which the node accepts connections of clients.
     pub listen_address: SocketAddr,
-    /// The services that the node calls.
+    /// Addresses of discovery and the counter service.
     pub services: ServiceAddresses,
     /// Seed of the node's random numbers.
     pub seed: u64,
-    /// How many file descriptors the process may use.
+    /// Maximum number of file descriptors that the process may use; 1024 if the file names none.
     pub max_descriptors: usize,
-    /// The endpoint list as the node last had it; it may be out of date.
+    /// The endpoint list that the node knew before this start; it may be out of date. Empty if the file holds
+    /// none.
     pub known_endpoints: EndpointList,
-    /// The settings of the decisions, of requests and of connections.
+    /// The settings of the decisions, of the validation of requests and of connections.
     pub settings: SettingsDocument,
 }
 
-/// The addresses of the services that a node calls: the part of the configuration that may change while it runs.
+/// The addresses of the services that a node calls. This is the only part of the configuration that may
+/// change while the node runs.
 pub struct ServiceAddresses {
-    /// Discovery.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// The counter service; none if the node does without.
+    /// Address of the counter service; `None` if the node runs without a counter service.
     pub counter: Option<SocketAddr>,
 }
 
-/// The file as it is written. Error messages name these types.
+/// The serialized form of the configuration file. Error messages of the JSON parser contain the names of
+/// these types.
 mod file {
     use serde::Deserialize;
 
     use crate::net::discovery::parser::EndpointList;
     use crate::protocol::settings::SettingsDocument;
 
-    /// How many file descriptors the process may use where the file does not say.
+    /// Maximum number of file descriptors if the file names none.
     const DEFAULT_SOCKETS: usize = 1024;
 
     #[derive(Deserialize)]
@@ -84,13 +87,13 @@
         pub counter: Option<String>,
         pub seed: String,
         #[serde(default)]
-        pub limits: Limits,
+        pub limits: ResourceLimits,
         #[serde(default)]
         pub known: EndpointList,
         pub settings: SettingsDocument,
     }
 
-    /// The part of the file that is read again on a reload. Nothing else in it has to be valid then.
+    /// The part of the file that is read on a reload. On a reload, the rest of the file may be invalid.
     #[derive(Deserialize)]
     pub struct Peers {
         pub discovery: String,
@@ -98,33 +101,34 @@
         pub counter: Option<String>,
     }
 
-    /// What the process may use.
+    /// Limits of the resources that the process may use. Error messages call this type `Limits`.
     #[derive(Deserialize)]
-    #[serde(default)]
-    pub struct Limits {
+    #[serde(default, expecting = "struct Limits")]
+    pub struct ResourceLimits {
+        /// Maximum number of file descriptors.
         pub sockets: usize,
     }
 
-    impl Default for Limits {
+    impl Default for ResourceLimits {
         fn default() -> Self {
-            Limits { sockets: DEFAULT_SOCKETS }
+            ResourceLimits { sockets: DEFAULT_SOCKETS }
         }
     }
 }
 
-/// The path of the configuration file, as the environment names it.
+/// Returns the path of the configuration file, which the environment variable `PROXY_CONFIG` holds.
 ///
 /// # Errors
-/// If the environment names none.
+/// If the variable is not set or is not valid UTF-8.
 pub fn path_from_environment() -> Result<String, ConfigError> {
     std::env::var(PATH_VARIABLE).map_err(|_| ConfigError::NoPath)
 }
 
 impl Config {
-    /// Reads the configuration file at this path.
+    /// Reads the configuration file at `path`.
     ///
     /// # Errors
-    /// If the file can't be read, or is not a valid configuration.
+    /// If the file can't be read, or if it is not a valid configuration.
     pub fn load(path: &str) -> Result<Self, ConfigError> {
         let file: file::Config = read_json(path)?;
         Ok(Config {
@@ -139,10 +143,11 @@
 }
 
 impl ServiceAddresses {
-    /// Reads the addresses alone from the configuration file at this path.
+    /// Reads only the addresses of the services from the configuration file at `path`.
     ///
     /// # Errors
-    /// If the file can't be read, or holds no valid addresses.
+    /// If the file can't be read or is not valid JSON, or if an address in it is missing or invalid. The
+    /// address of the counter service may be missing.
     pub fn load(path: &str) -> Result<Self, ConfigError> {
         let file: file::Peers = read_json(path)?;
         ServiceAddresses::parse(&file.discovery, file.counter.as_deref())
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! The process of one edge node. Exits with 1, and one line on standard error, if the node can't start.
+//! The process of one edge node. If the node can't start, the process writes one line to standard error and
+//! exits with code 1.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
--- a/src/protocol/headers.rs
+++ b/src/protocol/headers.rs
@@ -1,21 +1,21 @@
-//! The names of the HTTP headers that the protocol defines.
+//! Defines the names of the protocol's HTTP headers.
 
 use hyper::header::HeaderName;
 
-/// Identifies the request: `X-Request-Id`.
+/// `X-Request-Id`: the id of the request.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// The name of the request's class: `X-Class`.
+/// `X-Class`: the name of the request class.
 pub const REQUEST_CLASS: HeaderName = HeaderName::from_static("x-class");
-/// The name of the account's plan: `X-Tariff`.
+/// `X-Tariff`: the name of the account's plan.
 pub const PLAN: HeaderName = HeaderName::from_static("x-tariff");
-/// The weight of the request on its account's quota: the units that it uses (`units`), the number of nodes that get
-/// the account's requests (`spread`), and the first of these nodes (`first`): `X-Weight`.
+/// `X-Weight`: the units of its account's quota that the request uses (`units`), the number of nodes that
+/// receive the account's requests (`spread`), and the index of the first of these nodes (`first`).
 pub const WEIGHT: HeaderName = HeaderName::from_static("x-weight");
-/// How long the sender waits for the response, in milliseconds: `X-Deadline-Ms`.
+/// `X-Deadline-Ms`: how long the sender waits for the response, in milliseconds.
 pub const DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
-/// Marks a client's retry of an earlier request: `X-Retry`.
+/// `X-Retry`: marks a request as a client's retry of an earlier request.
 pub const RETRY: HeaderName = HeaderName::from_static("x-retry");
-/// The key by which endpoints drop a repeat of a request: `Idempotency-Key`.
+/// `Idempotency-Key`: the key by which endpoints recognise and drop a repeat of a request.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// On an endpoint's error response: the request did not run, `X-Not-Run`.
+/// `X-Not-Run`: on an error response of an endpoint, says that the request did not run.
 pub const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,7 +1,8 @@
-//! The only place where the protocol's own names stand: the settings, the simulator's messages and the HTTP headers.
+//! Defines the names that the protocol uses in the settings, in the simulator's messages and in HTTP headers.
+//! No other module contains these names.
 //!
-//! Every name is mapped once to the terms of the code, by `#[serde(rename = "...")]` or by a constant. Nothing here
-//! decides anything.
+//! Each name is mapped once to the corresponding term of the code, by `#[serde(rename = "...")]` or by a
+//! constant. This module makes no decisions.
 
 pub mod headers;
 pub mod settings;
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -1,9 +1,10 @@
-//! The settings of one node, as a configuration file and the simulator's first message hold them, and their mapping
-//! to the settings of the decisions.
+//! Defines the serialized form of a node's settings, which the configuration file and the simulator's first
+//! message contain, and converts it to [`Settings`].
 //!
-//! Times are in microseconds and rates in units of quota per second. A setting that is left out has the default of
-//! its type: zero, `false`, or an empty list or text; the two time-outs of connections have defaults of their own, also
-//! where they are zero. Unknown settings are ignored.
+//! Times are in microseconds, and rates are in units of quota per second. An optional setting that is missing
+//! has the default of its type: zero, `false`, an empty list or an empty text. The two time-outs of
+//! connections have defaults of their own, which also apply if their value is zero. Unknown settings are
+//! ignored.
 
 use serde::Deserialize;
 
@@ -11,17 +12,17 @@
     CounterSettings, DeduplicationScope, Idempotency, Limits, Micros, Plan, RequestClass, Settings, WarmUp,
 };
 
-/// The value of the endpoint list's mode with which a node has to poll the list.
+/// The value of `registry_mode` with which a node polls the endpoint list.
 const POLLED_LIST: &str = "ask";
-/// How long a connection may take to be established, where the settings name no time.
+/// Time-out for establishing a connection to an endpoint, if the settings name none.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
-/// When endpoints close idle connections, where the settings name no time.
+/// Time after which endpoints close an idle connection, if the settings name none.
 const DEFAULT_CONNECTION_IDLE_TIMEOUT: Micros = 10_000_000;
 
-/// The settings of one node.
+/// The serialized form of [`Settings`], together with settings that only other modules use.
 #[derive(Deserialize)]
 pub struct SettingsDocument {
-    /// How many nodes there are.
+    /// Number of nodes in the fleet.
     #[serde(rename = "n_instances")]
     pub node_count: u32,
     #[serde(rename = "me")]
@@ -32,18 +33,18 @@
     batch_interval: Micros,
     #[serde(default, rename = "registry_mode")]
     endpoint_list_mode: String,
-    /// The classes of request, by index.
+    /// The request classes. A class is identified by its index in this list.
     pub classes: Vec<ClassDocument>,
-    /// The plans, by index.
+    /// The plans. A plan is identified by its index in this list.
     #[serde(default, rename = "tariffs")]
     pub plans: Vec<PlanDocument>,
-    /// The names of the zones, by index.
+    /// The names of the zones. The index of a name in this list is the number of its zone.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// The names of the kinds of machine, by index.
+    /// The names of the machine kinds. The index of a name in this list is the number of its machine kind.
     #[serde(default, rename = "kinds")]
     pub machine_kinds: Vec<String>,
-    /// What a node may do at this site.
+    /// What a node may do, the maximum number of attempts, and time-outs.
     #[serde(rename = "bounds")]
     pub limits: LimitsDocument,
     /// How requests are counted against quotas.
@@ -57,7 +58,7 @@
     warm_up: WarmUpDocument,
 }
 
-/// What is known of the clients.
+/// The behaviour of the clients.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct ClientsDocument {
@@ -65,14 +66,14 @@
     mark_retries: bool,
 }
 
-/// What attempts cost.
+/// The costs of attempts.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct CostsDocument {
     cross_zone: f64,
 }
 
-/// How requests are counted against quotas.
+/// How requests are counted against quotas, and whether the counter service may be called for it.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct AccountingDocument {
@@ -82,18 +83,18 @@
     counter_timeout: Micros,
     #[serde(rename = "cost_after")]
     units_settled_after: bool,
-    /// The most units that one request counts; 0 means that the settings name no such limit.
+    /// Maximum units that one request counts; 0 if the settings name no maximum.
     #[serde(rename = "largest")]
     pub max_request_units: f64,
 }
 
-/// What a node may do at this site.
+/// The serialized form of [`Limits`], with the idle time-out of connections to endpoints.
 #[derive(Deserialize)]
 pub struct LimitsDocument {
-    /// 0 means that the settings name no time.
+    /// 0 if the settings name no time.
     #[serde(default, rename = "conn_idle")]
     connection_idle_timeout: Micros,
-    /// 0 means that the settings name no time.
+    /// 0 if the settings name no time.
     #[serde(default)]
     connect_timeout: Micros,
     #[serde(default, rename = "cancel")]
@@ -108,7 +109,7 @@
     max_attempts: u32,
 }
 
-/// How an endpoint warms up after a start.
+/// The serialized form of [`WarmUp`].
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct WarmUpDocument {
@@ -122,17 +123,17 @@
     overload_duration: Micros,
 }
 
-/// A class of request.
+/// The serialized form of [`RequestClass`], with the name of the class.
 #[derive(Deserialize)]
 pub struct ClassDocument {
-    /// The name that requests give.
+    /// The name by which requests refer to the class.
     #[serde(default)]
     pub name: String,
     #[serde(rename = "on_time")]
     latency_objective: Micros,
     #[serde(rename = "deadline")]
     total_timeout: Micros,
-    /// How often the effect of a request may happen.
+    /// Whether a request of the class may run more than once.
     #[serde(rename = "effect")]
     pub idempotency: IdempotencyName,
     #[serde(default, rename = "group")]
@@ -150,13 +151,14 @@
 /// The serialized form of [`Idempotency`].
 #[derive(Debug, Deserialize, Clone, Copy, PartialEq, Eq)]
 pub enum IdempotencyName {
-    /// Repeats are harmless.
+    /// A request may run any number of times.
     #[serde(rename = "safe")]
     Safe,
-    /// Endpoints of one deduplication scope drop a repeat.
+    /// A request may be sent again to an endpoint of the same deduplication scope, because these endpoints
+    /// drop the repeat.
     #[serde(rename = "keyed")]
     Keyed,
-    /// The request must never run twice.
+    /// A request must not run more than once.
     #[serde(rename = "unsafe")]
     NonIdempotent,
 }
@@ -173,11 +175,11 @@
     Cell,
 }
 
-/// A plan: quotas that hold for each of its accounts.
+/// The serialized form of [`Plan`], with the name of the plan.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct PlanDocument {
-    /// The name that requests give.
+    /// The name by which requests refer to the plan.
     pub name: String,
     #[serde(rename = "quota_rate")]
     quota_units_per_second: f64,
@@ -220,7 +222,7 @@
     }
 }
 
-/// The value, or the default where it is 0.
+/// Returns `value`, or `default` if `value` is 0.
 fn positive_or(value: Micros, default: Micros) -> Micros {
     if value > 0 {
         value
@@ -230,7 +232,8 @@
 }
 
 impl LimitsDocument {
-    /// An endpoint closes a connection that has been idle for this long; 10 s if the settings name no time.
+    /// Returns how long a connection to an endpoint may be idle before the endpoint closes it, in
+    /// microseconds. The default is 10 s.
     pub fn connection_idle_timeout(&self) -> Micros {
         positive_or(self.connection_idle_timeout, DEFAULT_CONNECTION_IDLE_TIMEOUT)
     }
--- a/src/protocol/simulator/incoming.rs
+++ b/src/protocol/simulator/incoming.rs
@@ -1,4 +1,4 @@
-//! The simulator's messages to the nodes, and the event that each of them is.
+//! Defines the serialized form of the simulator's messages to the nodes and converts them to events.
 
 use std::collections::BTreeMap;
 
@@ -11,25 +11,25 @@
 use crate::protocol::settings::SettingsDocument;
 use crate::protocol::simulator::SimulatorError;
 
-/// The endpoint lists that the simulator has defined, by number.
+/// The endpoint lists that the simulator has defined, by the number of the list.
 pub type EndpointLists = BTreeMap<u32, Vec<EndpointEntry>>;
 
-/// What happens at one time: one line of the input.
+/// The messages to all nodes at one time: one line of the input.
 #[derive(Deserialize)]
 pub struct Batch {
-    /// The time of all events in the batch.
+    /// The time of all messages in the batch, in microseconds.
     pub time: Micros,
     /// The messages, grouped by node.
     #[serde(rename = "parts")]
     pub nodes: Vec<NodeMessages>,
 }
 
-/// The messages to one node, in their order.
+/// The messages to one node.
 #[derive(Deserialize)]
 pub struct NodeMessages {
-    /// The node.
+    /// The id of the node.
     pub node_id: String,
-    /// Its messages.
+    /// The messages, in the order in which the node handles them.
     #[serde(rename = "msgs")]
     pub messages: Vec<Message>,
 }
@@ -53,17 +53,17 @@
     DefineEndpointList {
         /// The number of the list.
         list: u32,
-        /// Its entries.
+        /// The entries of the list.
         #[serde(rename = "members")]
         entries: Vec<EntryMessage>,
     },
-    /// An update of the endpoint list.
+    /// The node receives an update of its endpoint list.
     #[serde(rename = "Membership")]
     EndpointsUpdated {
-        /// What the list holds.
+        /// What the entries of the list are.
         #[serde(rename = "how")]
         kind: UpdateKind,
-        /// The number of the list.
+        /// The number of the list with the entries. Not used if the kind is [`UpdateKind::WatchLost`].
         #[serde(default)]
         list: u32,
     },
@@ -73,37 +73,37 @@
     /// An attempt ended.
     #[serde(rename = "Ended")]
     AttemptEnded(AttemptEndMessage),
-    /// Nobody waits for the response any more.
+    /// No client waits for the response any more.
     #[serde(rename = "Expired")]
     ClientDisconnected {
-        /// The request.
+        /// The id of the request.
         #[serde(rename = "xid")]
         request: String,
     },
     /// The first part of a streamed response was sent to the client.
     #[serde(rename = "AckFirst")]
     ResponseStarted {
-        /// The request.
+        /// The id of the request.
         #[serde(rename = "xid")]
         request: String,
     },
     /// A call to the counter service ended.
     #[serde(rename = "TallyBack")]
     CounterReplied {
-        /// The counter.
+        /// The key of the counter.
         #[serde(rename = "book")]
         key: u64,
         /// How the call ended.
         #[serde(rename = "state_code")]
         outcome: OutcomeCode,
-        /// The counter's total after the call.
+        /// The counter's total after the call, in units.
         #[serde(default, rename = "value")]
         total: f64,
     },
     /// A probe ended.
     #[serde(rename = "ProbeDone")]
     ProbeCompleted {
-        /// The endpoint.
+        /// The id of the endpoint.
         #[serde(rename = "server")]
         endpoint: u64,
         /// How the probe ended.
@@ -113,30 +113,30 @@
     /// A timer fired.
     #[serde(rename = "Alarm")]
     TimerFired {
-        /// The timer's number.
+        /// The number of the timer.
         #[serde(rename = "handle")]
         id: u64,
     },
-    /// The node's process was killed.
+    /// The node's process is killed.
     Killed,
-    /// A message of a kind that this program does not know.
+    /// A message of an unknown kind. It is ignored.
     #[serde(other)]
     Unknown,
 }
 
-/// What an update of the endpoint list holds: the serialized form of [`EndpointUpdateKind`].
+/// The serialized form of [`EndpointUpdateKind`]: what the entries of an update are.
 #[derive(Deserialize, Clone, Copy, PartialEq)]
 pub enum UpdateKind {
-    /// Only the entries that changed.
+    /// The entries that changed.
     #[serde(rename = "incr")]
     Delta,
-    /// The full list.
+    /// The full list. An endpoint that is missing has been removed.
     #[serde(rename = "total")]
     Snapshot,
-    /// The full list as the node last had it.
+    /// The full list as the node last had it, which may be out of date.
     #[serde(rename = "warm_copy")]
     StaleSnapshot,
-    /// Nothing: the watch was interrupted.
+    /// No entries: the watch was interrupted.
     #[serde(rename = "lost")]
     WatchLost,
 }
@@ -187,7 +187,7 @@
     units: Option<f64>,
     #[serde(rename = "lane")]
     class: usize,
-    /// The account in hexadecimal digits.
+    /// The id of the account, in hexadecimal digits. An empty or malformed id stands for account 0.
     #[serde(default, rename = "member")]
     account: String,
     #[serde(rename = "due")]
@@ -215,15 +215,15 @@
 /// The serialized form of [`Outcome`].
 #[derive(Deserialize, Clone, Copy)]
 pub enum OutcomeCode {
-    /// It succeeded.
+    /// The operation succeeded.
     Ok,
-    /// An error response.
+    /// The response was an error.
     #[serde(rename = "Failed")]
     Error,
-    /// Rejected before it ran.
+    /// The operation was rejected before it ran.
     #[serde(rename = "QueueFull")]
     Rejected,
-    /// No response in time.
+    /// No response arrived in time.
     TimedOut,
     /// No connection could be established.
     #[serde(rename = "ConnectError")]
@@ -231,20 +231,20 @@
     /// The connection was reset.
     #[serde(rename = "ResetByPeer")]
     Reset,
-    /// Cancelled by the node.
+    /// The node cancelled the operation.
     #[serde(rename = "Canceled")]
     Cancelled,
-    /// It was never sent.
+    /// The operation was never sent.
     #[serde(rename = "Ignored")]
     NotSent,
 }
 
 impl Message {
-    /// The event that the message is for a running node; none for the messages that start or end a node, define a
-    /// list or are unknown.
+    /// Converts the message to an event for a running node. Returns `None` if the message starts or kills a
+    /// node, defines an endpoint list or is of an unknown kind.
     ///
     /// # Errors
-    /// If the message refers to an endpoint list that was not defined.
+    /// If the message refers to an endpoint list that is not defined.
     pub fn into_event(self, lists: &EndpointLists) -> Result<Option<Event>, SimulatorError> {
         let event = match self {
             Message::EndpointsUpdated { kind, list } => endpoints_updated(kind, list, lists)?,
@@ -272,7 +272,11 @@
     }
 }
 
-/// An update of the endpoint list. One that says only that the watch was lost refers to no list.
+/// Returns the event for an update of the endpoint list. An update of kind [`UpdateKind::WatchLost`] has no
+/// entries, so its list number is not looked up.
+///
+/// # Errors
+/// If the update refers to an endpoint list that is not defined.
 fn endpoints_updated(kind: UpdateKind, list: u32, lists: &EndpointLists) -> Result<Event, SimulatorError> {
     let entries = match kind {
         UpdateKind::WatchLost => Vec::new(),
--- a/src/protocol/simulator/mod.rs
+++ b/src/protocol/simulator/mod.rs
@@ -1,4 +1,5 @@
-//! The simulator adapter: runs decision engines on the simulator's messages, one line in and one line out.
+//! The simulator adapter: runs the decision engines of simulated nodes on the simulator's messages. Each line
+//! of input is a batch of messages and results in one line of output.
 
 mod incoming;
 mod outgoing;
@@ -12,33 +13,33 @@
 use incoming::{Batch, EndpointLists, Message, NodeMessages};
 use outgoing::{NodeReply, Output, Reply};
 
-/// Why the adapter stopped.
+/// Why the adapter stopped before the end of its input.
 #[derive(Debug, Error)]
 pub enum SimulatorError {
-    /// A line of the input is not the JSON expected.
+    /// A line of the input is not valid JSON, or a required field is missing or has the wrong type.
     #[error("line {line} is malformed: {source}")]
     Malformed {
         /// Number of the line, from 1.
         line: usize,
-        /// What the parser reports.
+        /// The error of the JSON parser.
         source: serde_json::Error,
     },
-    /// A message for a node that was not started.
-    #[error("message for {0}, which has not been started")]
+    /// A message is addressed to a node that has not been started. Holds the id of the node.
+    #[error("message for node {0}, which has not been started")]
     NotStarted(String),
-    /// The number of an endpoint list that was not defined.
-    #[error("list {0} has not been set up")]
+    /// A message refers to an endpoint list that has not been defined. Holds the number of the list.
+    #[error("endpoint list {0} has not been defined")]
     UnknownList(u32),
-    /// Reading or writing failed.
+    /// Reading the input or writing the output failed.
     #[error("input or output failed: {0}")]
     Io(#[from] io::Error),
 }
 
-/// Reads batches of messages, one a line, hands each node's to its decision engine and writes one reply for each
-/// batch.
+/// Reads one batch of messages from each line of `input`, passes the messages of each node to its decision
+/// engine, and writes one line with the reply to `output`. Returns at the end of the input.
 ///
 /// # Errors
-/// At the first line that is malformed or refers to an unknown node or list, and if reading or writing fails.
+/// If a line is malformed or refers to an unknown node or endpoint list, or if reading or writing fails.
 pub fn run(input: impl BufRead, mut output: impl Write) -> Result<(), SimulatorError> {
     let mut simulation = Simulation::default();
     for (index, line) in input.lines().enumerate() {
@@ -52,7 +53,7 @@
     Ok(())
 }
 
-/// The nodes that run, and the endpoint lists that messages to them refer to.
+/// The running nodes, and the endpoint lists that messages refer to.
 #[derive(Default)]
 struct Simulation {
     engines: BTreeMap<String, DecisionEngine>,
@@ -98,7 +99,7 @@
             }
             Message::Killed => {
                 self.engines.remove(node_id);
-                // What a killed process decided in this batch never left it.
+                // The process was killed before it could send the actions of this batch.
                 actions.clear();
             }
             other => {
--- a/src/protocol/simulator/outgoing.rs
+++ b/src/protocol/simulator/outgoing.rs
@@ -1,4 +1,4 @@
-//! The nodes' messages to the simulator, and the action that each of them is.
+//! Defines the serialized form of the nodes' messages to the simulator and converts actions to them.
 
 use serde::Serialize;
 
@@ -7,99 +7,99 @@
 /// The reply to one batch: one line of the output.
 #[derive(Serialize)]
 pub struct Reply {
-    /// The messages, grouped by node; only of nodes that have any.
+    /// The messages, grouped by node. A node without messages is left out.
     #[serde(rename = "parts")]
     pub nodes: Vec<NodeReply>,
 }
 
-/// The messages of one node, in their order.
+/// The messages of one node.
 #[derive(Serialize)]
 pub struct NodeReply {
-    /// The node.
+    /// The id of the node.
     pub node_id: String,
-    /// Its messages.
+    /// The messages, in the order of the node's actions.
     #[serde(rename = "output")]
     pub messages: Vec<Output>,
 }
 
-/// A message of a node: the serialized form of [`Action`].
+/// The serialized form of [`Action`]: a message of a node.
 #[derive(Serialize)]
 #[serde(tag = "what")]
 pub enum Output {
-    /// Send the request to an endpoint.
+    /// The node sends the request to an endpoint.
     #[serde(rename = "PassOn")]
     StartAttempt {
-        /// The request.
+        /// The id of the request.
         #[serde(rename = "xid")]
         request: String,
-        /// The endpoint.
+        /// The id of the endpoint.
         #[serde(rename = "server")]
         endpoint: u64,
-        /// Time limit of the attempt.
+        /// Time limit of the attempt, in microseconds; 0 if the limit is the request's deadline.
         timeout: Micros,
     },
-    /// Final response: rejected.
+    /// The node rejects the request. This is its final response.
     #[serde(rename = "Bounce")]
     Reject {
-        /// The request.
+        /// The id of the request.
         #[serde(rename = "xid")]
         request: String,
-        /// When the client should come back, from now.
+        /// How long the client should wait before it retries, in microseconds; 0 if the node gives no advice.
         #[serde(rename = "not_before_for")]
         retry_after: Micros,
     },
-    /// Final response: failed.
+    /// The node fails the request. This is its final response.
     #[serde(rename = "EndFailed")]
     Fail {
-        /// The request.
+        /// The id of the request.
         #[serde(rename = "xid")]
         request: String,
     },
-    /// Cancel an attempt.
+    /// The node cancels an attempt.
     #[serde(rename = "Abandon")]
     CancelAttempt {
-        /// The request.
+        /// The id of the request.
         #[serde(rename = "xid")]
         request: String,
-        /// The number of the attempt.
+        /// The number of the attempt within its request, from 0.
         #[serde(rename = "seq_no")]
         attempt_number: u32,
     },
-    /// Probe an endpoint.
+    /// The node probes an endpoint.
     #[serde(rename = "Check")]
     ProbeEndpoint {
-        /// The endpoint.
+        /// The id of the endpoint.
         #[serde(rename = "server")]
         endpoint: u64,
     },
-    /// Add to a counter.
+    /// The node adds to a counter of the counter service.
     #[serde(rename = "Add")]
     IncrementCounter {
-        /// The counter.
+        /// The key of the counter.
         #[serde(rename = "book")]
         key: u64,
-        /// Units to add.
+        /// Units to add; negative to give units back.
         amount: f64,
-        /// How long a new counter is kept.
+        /// How long the service keeps a counter that this call creates, in microseconds.
         keep_for: Micros,
     },
-    /// Start a timer.
+    /// The node starts a timer.
     #[serde(rename = "After")]
     SetTimer {
-        /// The timer's number.
+        /// The number of the timer.
         #[serde(rename = "handle")]
         id: u64,
-        /// When it fires, from now.
+        /// Time until the timer fires, in microseconds.
         #[serde(rename = "from_now")]
         after: Micros,
     },
-    /// Fetch the full endpoint list once.
+    /// The node fetches the full endpoint list once.
     #[serde(rename = "Snapshot")]
     FetchEndpoints,
-    /// Start to watch the endpoint list.
+    /// The node starts to watch the endpoint list.
     #[serde(rename = "Watch")]
     WatchEndpoints {
-        /// Always `true`: the watch is never ended.
+        /// Always `true`, because the node never ends the watch.
         active: bool,
     },
 }
