--- a/tests/common/actions.rs
+++ b/tests/common/actions.rs
@@ -1,4 +1,4 @@
-//! What a test reads from the actions of a node.
+//! Extracts attempts, counter calls, rejections and failures from the actions of a node.
 
 use edge_node::decision::{Action, CounterKey, EndpointId, Micros, RequestId};
 
@@ -9,14 +9,15 @@
     pub endpoint: EndpointId,
 }
 
-/// A call of the node to the counter service.
+/// A call that the node made to the counter service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CounterCall {
     pub key: CounterKey,
+    /// Units to add; negative to give units back.
     pub amount: f64,
 }
 
-/// The first call to the counter service among the actions.
+/// Returns the first call to the counter service among the actions. Returns `None` if there is none.
 pub fn counter_call(actions: &[Action]) -> Option<CounterCall> {
     actions.iter().find_map(|action| match action {
         Action::IncrementCounter { key, amount, .. } => Some(CounterCall { key: *key, amount: *amount }),
@@ -24,7 +25,7 @@
     })
 }
 
-/// The attempts among the actions.
+/// Returns all attempts that the actions start, in their order.
 pub fn started_attempts(actions: &[Action]) -> Vec<StartedAttempt> {
     let attempt = |action: &Action| match action {
         Action::StartAttempt { request, endpoint, .. } => {
@@ -35,7 +36,8 @@
     actions.iter().filter_map(attempt).collect()
 }
 
-/// The `Retry-After` time of the first rejection among the actions; 0 if it has none.
+/// Returns the `Retry-After` time of the first rejection among the actions, in microseconds; 0 if the
+/// rejection gives no time. Returns `None` if no request was rejected.
 pub fn rejection(actions: &[Action]) -> Option<Micros> {
     actions.iter().find_map(|action| match action {
         Action::Reject { retry_after, .. } => Some(*retry_after),
@@ -43,7 +45,7 @@
     })
 }
 
-/// Whether a request has failed.
+/// Returns whether one of the actions fails a request.
 pub fn has_failure(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Fail { .. }))
 }
--- a/tests/common/fake_counter.rs
+++ b/tests/common/fake_counter.rs
@@ -1,4 +1,4 @@
-//! A counter service without a socket.
+//! A fake counter service that tests call directly, without a socket.
 
 use std::collections::BTreeMap;
 
@@ -7,26 +7,27 @@
 use super::actions::counter_call;
 use super::node::NodeUnderTest;
 
-/// A counter service that replies at once.
+/// The totals of a fake counter service, in units.
 #[derive(Default)]
 pub struct FakeCounter {
     totals: BTreeMap<CounterKey, f64>,
 }
 
 impl FakeCounter {
-    /// Adds to a counter and returns its total.
+    /// Adds `amount` to a counter and returns its new total. A counter starts at 0.
     pub fn add(&mut self, key: CounterKey, amount: f64) -> f64 {
         let total = self.totals.entry(key).or_default();
         *total += amount;
         *total
     }
 
-    /// Drops all counters, as a restart of the service does.
+    /// Deletes all counters, as a restart of the service does.
     pub fn flush(&mut self) {
         self.totals.clear();
     }
 
-    /// Replies to every call until none is left. Returns all actions, with the given ones.
+    /// Replies to the first counter call among `actions`, then to the first one among the actions that
+    /// result, until the node makes no further call. Returns the given actions and all actions that result.
     pub fn reply_to_all(&mut self, node: &mut NodeUnderTest, mut actions: Vec<Action>) -> Vec<Action> {
         let mut all_actions = actions.clone();
         while let Some(call) = counter_call(&actions) {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A node under test, on a clock that the test moves, and helpers for its events and actions.
-#![allow(dead_code, unused_imports, reason = "each test file that includes this uses a part of it")]
+//! A decision engine under test with a clock that the test moves, and helpers for its events and actions.
+#![allow(dead_code, unused_imports, reason = "each test file that includes this module uses a part of it")]
 
 mod actions;
 mod fake_counter;
--- a/tests/common/settings.rs
+++ b/tests/common/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a small fleet, with and without a quota.
+//! Settings of a fleet of three nodes, with and without a quota.
 
 use edge_node::decision::{
     CounterSettings, DeduplicationScope, Idempotency, Limits, Plan, RequestClass, Settings, WarmUp,
@@ -6,12 +6,14 @@
 
 use super::{MILLISECOND, SECOND};
 
-/// The classes of [`settings_with_quota`], by index.
+/// Index of the safe class of [`settings_with_quota`].
 pub const SAFE: usize = 0;
+/// Index of the keyed class of [`settings_with_quota`].
 pub const KEYED: usize = 1;
+/// Index of the non-idempotent class of [`settings_with_quota`].
 pub const NON_IDEMPOTENT: usize = 2;
 
-/// A class whose repeats are dropped within a cell for a second.
+/// Returns a request class whose deduplication scope is a cell and whose deduplication window is 1 s.
 pub fn request_class(idempotency: Idempotency) -> RequestClass {
     RequestClass {
         latency_objective: 500 * MILLISECOND,
@@ -24,7 +26,8 @@
     }
 }
 
-/// Settings of a fleet of three nodes, with one plan of 2 units a second and a burst of 12.
+/// Returns the settings of a fleet of three nodes, with one plan whose quota is 2 units/s with a burst of 12
+/// units.
 pub fn settings_with_quota() -> Settings {
     Settings {
         node_count: 3,
@@ -61,7 +64,8 @@
     }
 }
 
-/// Settings without any quota, so that only endpoints and attempts decide.
+/// Returns the settings of [`settings_with_quota`] with a plan that has no quota. Only endpoints and attempts
+/// then determine the node's decisions.
 pub fn settings_without_quota() -> Settings {
     let mut settings = settings_with_quota();
     settings.plans[0] = Plan { weight_factor: 1.0, ..Plan::default() };
--- a/tests/fakes/client.rs
+++ b/tests/fakes/client.rs
@@ -1,4 +1,4 @@
-//! A client of the node under test.
+//! A client that sends requests to the node under test over TCP.
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -9,30 +9,30 @@
 use super::http::{read_message, HttpMessage};
 use super::TEST_TIMEOUT;
 
-/// A request in the protocol's form.
+/// A request of account 7 with one unit, from which the HTTP text is built.
 pub struct RequestSpec {
-    /// Its class: `lookup` (safe), `slip` (keyed) or `post` (non-idempotent).
+    /// The class: `lookup` (safe), `slip` (keyed) or `post` (non-idempotent).
     pub class: &'static str,
-    /// Its plan: `free` or `paid`.
+    /// The plan: `free` (without a quota) or `paid` (with a quota).
     pub plan: &'static str,
-    /// Its id.
+    /// The request id.
     pub id: String,
-    /// Its deadline, in milliseconds.
+    /// How long the client waits for the response, in milliseconds.
     pub deadline_ms: u64,
 }
 
-/// A request of the plan without a quota, with a deadline of 40 s.
+/// Returns a request with a deadline of 40 s and the plan without a quota.
 pub fn request(class: &'static str, id: &str) -> RequestSpec {
     RequestSpec { class, plan: "free", id: id.into(), deadline_ms: 40_000 }
 }
 
-/// The same of the plan with a quota.
+/// Returns a request with a deadline of 40 s and the plan with a quota.
 pub fn paid_request(class: &'static str, id: &str) -> RequestSpec {
     RequestSpec { plan: "paid", ..request(class, id) }
 }
 
 impl RequestSpec {
-    /// The request as sent.
+    /// Returns the HTTP request as it is sent.
     pub fn text(&self) -> String {
         let (method, further_headers, body) = match self.class {
             "lookup" => ("GET", "", ""),
@@ -41,14 +41,14 @@
         };
         let RequestSpec { class, plan, id, deadline_ms } = self;
         format!(
-            "{method} /{class}?key=0000000000000007 HTTP/1.1\r\nHost: service.internal\r\nX-Request-Id: {id}\r\n\
-             X-Class: {class}\r\nX-Tariff: {plan}\r\nX-Deadline-Ms: {deadline_ms}\r\n\
+            "{method} /{class}?key=0000000000000007 HTTP/1.1\r\nHost: service.internal\r\n\
+             X-Request-Id: {id}\r\nX-Class: {class}\r\nX-Tariff: {plan}\r\nX-Deadline-Ms: {deadline_ms}\r\n\
              X-Weight: units=1,spread=2,first=0\r\n{further_headers}\r\n{body}"
         )
     }
 }
 
-/// A client's connection.
+/// A client with one connection to the node. Reads time out after [`TEST_TIMEOUT`].
 pub struct Client {
     reader: BufReader<TcpStream>,
     stream: TcpStream,
@@ -57,27 +57,28 @@
 impl Client {
     /// Connects to a node.
     pub fn connect(address: SocketAddr) -> Client {
-        let stream = TcpStream::connect(address).expect("the node accepts");
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
-        Client { reader: BufReader::new(stream.try_clone().expect("a clone")), stream }
+        let stream = TcpStream::connect(address).expect("failed to connect to the node");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("failed to set the read time-out");
+        Client { reader: BufReader::new(stream.try_clone().expect("failed to clone the connection")), stream }
     }
 
-    /// Connects to a node with a receive buffer of this many bytes, about: what does not fit stays with the node.
+    /// Connects to a node with a receive buffer of about `bytes` bytes. Bytes of a response that do not fit
+    /// into the buffer stay in the node until the client reads.
     pub fn connect_with_receive_buffer(address: SocketAddr, bytes: usize) -> Client {
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        socket.set_recv_buffer_size(bytes).expect("a buffer");
-        socket.connect(&address.into()).expect("the node accepts");
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("failed to create a socket");
+        socket.set_recv_buffer_size(bytes).expect("failed to set the size of the receive buffer");
+        socket.connect(&address.into()).expect("failed to connect to the node");
         let stream = TcpStream::from(socket);
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
-        Client { reader: BufReader::new(stream.try_clone().expect("a clone")), stream }
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("failed to set the read time-out");
+        Client { reader: BufReader::new(stream.try_clone().expect("failed to clone the connection")), stream }
     }
 
-    /// Sends this text.
+    /// Sends `text` as it is.
     pub fn send_raw(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).expect("an open connection");
+        self.stream.write_all(text.as_bytes()).expect("failed to write to the connection");
     }
 
-    /// Sends this text, unless the connection has ended. Returns whether it was sent.
+    /// Sends `text` as it is, unless the connection has ended. Returns whether it was sent.
     pub fn try_send_raw(&mut self, text: &str) -> bool {
         self.stream.write_all(text.as_bytes()).is_ok()
     }
@@ -87,56 +88,63 @@
         self.send_raw(&request.text());
     }
 
-    /// Sends nothing more; the connection stays open for responses.
+    /// Closes the sending side of the connection. Responses can still be received.
     pub fn close_write_half(&mut self) {
-        self.stream.shutdown(Shutdown::Write).expect("an open connection");
+        self.stream
+            .shutdown(Shutdown::Write)
+            .expect("failed to shut down the sending side of the connection");
     }
 
-    /// Waits for the connection's end and returns what arrived before it.
+    /// Waits until the node closes or resets the connection, and returns the text that arrived before.
     pub fn read_to_end(mut self) -> String {
         let mut rest = Vec::new();
         match self.reader.read_to_end(&mut rest) {
             Ok(_) => {}
             Err(error) if error.kind() == ErrorKind::ConnectionReset => {}
-            Err(error) => panic!("the connection stays open: {error}"),
+            Err(error) => panic!("the node did not close the connection: {error}"),
         }
         String::from_utf8_lossy(&rest).into_owned()
     }
 
-    /// Waits whether the connection ends without a reset and without further bytes.
+    /// Waits for further bytes or the end of the connection. Returns whether the connection ended first,
+    /// without a reset.
     pub fn is_closed_cleanly(&mut self) -> bool {
         self.reader.fill_buf().is_ok_and(<[u8]>::is_empty)
     }
 
-    /// Whether a response has begun to arrive, or does within a millisecond.
+    /// Returns whether the first bytes of a response have arrived, or arrive within 1 ms.
     pub fn has_response(&mut self) -> bool {
         self.poll(|arrived| arrived.is_ok_and(|bytes| !bytes.is_empty()))
     }
 
-    /// Whether neither a response nor the connection's end has come, nor does within a millisecond.
+    /// Returns whether neither a response nor the end of the connection has arrived, or arrives within 1 ms.
     pub fn is_still_waiting(&mut self) -> bool {
         self.poll(|arrived| arrived.is_err_and(|error| error.kind() == ErrorKind::WouldBlock))
     }
 
-    /// Looks at what has arrived within a millisecond.
-    fn poll(&mut self, look: impl FnOnce(std::io::Result<&[u8]>) -> bool) -> bool {
-        self.stream.set_read_timeout(Some(Duration::from_millis(1))).expect("a time-out");
-        let seen = look(self.reader.fill_buf());
-        self.stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
-        seen
+    /// Waits up to 1 ms for bytes or the end of the connection and returns whether the result meets
+    /// `condition`. Bytes that have arrived stay unread.
+    fn poll(&mut self, condition: impl FnOnce(std::io::Result<&[u8]>) -> bool) -> bool {
+        self.stream
+            .set_read_timeout(Some(Duration::from_millis(1)))
+            .expect("failed to set the read time-out");
+        let is_met = condition(self.reader.fill_buf());
+        self.stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("failed to set the read time-out");
+        is_met
     }
 
-    /// The next response.
+    /// Reads the next response. Panics if the connection ends first.
     pub fn response(&mut self) -> HttpMessage {
-        self.response_or_end().expect("a response")
+        self.response_or_end().expect("no response: the connection ended or the read timed out")
     }
 
-    /// The next response; none if the connection ends instead.
+    /// Reads the next response. Returns `None` if the connection ends before the response is complete, or if
+    /// the read times out.
     pub fn response_or_end(&mut self) -> Option<HttpMessage> {
         read_message(&mut self.reader)
     }
 
-    /// Asserts that the next response has status 200 and this body.
+    /// Reads the next response and asserts that it has status 200 and the body `body`.
     pub fn assert_ok(&mut self, body: &str) {
         let response = self.response();
         assert_eq!(response.status(), 200, "{}", response.first);
--- a/tests/fakes/configuration.rs
+++ b/tests/fakes/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration of the node under test.
+//! Builds the configuration of the node under test.
 
 use std::net::SocketAddr;
 
@@ -7,19 +7,22 @@
 use super::edge_process::EdgeProcess;
 use super::unused_ports::unreachable_address;
 
-/// An entry of the endpoint list.
+/// Returns an entry of the endpoint list.
 pub fn endpoint_entry(name: &str, address: SocketAddr, zone: &str, status: &str) -> Value {
     json!({"name": name, "address": address.to_string(), "zone": zone, "type": "m1", "group": 1,
            "status": status, "weight": 1.0, "since_ms": 0})
 }
 
-/// An entry of an endpoint in service, in the node's own zone.
+/// Returns an entry of an active endpoint in the node's own zone.
 pub fn active(name: &str, address: SocketAddr) -> Value {
     endpoint_entry(name, address, "a", "up")
 }
 
-/// Settings with a class for each kind of idempotency, a plan without a quota and one with it; two nodes, two zones.
-/// The counter's time-out is as long as a test that replies in its place may take on a busy machine.
+/// Returns settings with a class for each kind of idempotency, a plan without a quota and one with a quota,
+/// two nodes and two zones.
+///
+/// The time-out of counter calls is 20 s, because a test that replies to these calls may be slow on a busy
+/// machine.
 pub fn node_settings() -> Value {
     let class = |name: &str, idempotency: &str| {
         json!({"name": name, "effect": idempotency, "group": "zone", "window": 15_000_000, "credit": 1.0,
@@ -31,7 +34,8 @@
         "classes": [class("lookup", "safe"), class("slip", "keyed"), class("post", "unsafe")],
         "tariffs": [
             {"name": "free", "worth_factor": 1.0},
-            {"name": "paid", "worth_factor": 1.0, "quota_rate": 2.0, "most_at_once": 12.0, "excess_cost": 1.0},
+            {"name": "paid", "worth_factor": 1.0, "quota_rate": 2.0, "most_at_once": 12.0,
+             "excess_cost": 1.0},
         ],
         "bounds": {"cancel": true, "retry_after": true, "max_retry_after": 1_000_000, "try_limit": 4,
                    "connect_timeout": 2_000_000, "conn_idle": 60_000_000},
@@ -40,12 +44,13 @@
     })
 }
 
-/// The configuration of a node. Discovery and the counter service are unreachable unless a test sets them.
+/// The configuration of a node. The addresses of discovery and the counter service are unreachable unless a
+/// test sets them.
 #[derive(Clone)]
 pub struct NodeConfiguration(Value);
 
 impl NodeConfiguration {
-    /// A node that starts with this endpoint list, of version 1.
+    /// Returns the configuration of a node that starts with these entries as version 1 of its endpoint list.
     pub fn new(entries: &[Value]) -> NodeConfiguration {
         let discovery = unreachable_address().to_string();
         let counter = unreachable_address().to_string();
@@ -66,7 +71,7 @@
         self.text("counter", &address.to_string())
     }
 
-    /// Sets a field of the configuration to any text.
+    /// Sets a top-level field of the configuration to a text, which may be an invalid value.
     pub fn text(mut self, field: &str, value: &str) -> Self {
         self.0[field] = json!(value);
         self
@@ -86,56 +91,60 @@
 
     /// Sets the latency objective of all classes, in microseconds.
     pub fn latency_objective(mut self, micros: u64) -> Self {
-        for class in self.0["settings"]["classes"].as_array_mut().expect("classes") {
+        for class in
+            self.0["settings"]["classes"].as_array_mut().expect("the settings have no list of classes")
+        {
             class["on_time"] = json!(micros);
         }
         self
     }
 
-    /// Sets the total timeout of all classes, in microseconds.
+    /// Sets the total time-out of all classes, in microseconds.
     pub fn total_timeout(mut self, micros: u64) -> Self {
-        for class in self.0["settings"]["classes"].as_array_mut().expect("classes") {
+        for class in
+            self.0["settings"]["classes"].as_array_mut().expect("the settings have no list of classes")
+        {
             class["deadline"] = json!(micros);
         }
         self
     }
 
-    /// Sets the time within which a connection to an endpoint must be established, in microseconds.
+    /// Sets the time-out for establishing a connection to an endpoint, in microseconds.
     pub fn connect_timeout(mut self, micros: u64) -> Self {
         self.0["settings"]["bounds"]["connect_timeout"] = json!(micros);
         self
     }
 
-    /// Forbids the node to cancel attempts.
+    /// Forbids the cancellation of attempts.
     pub fn without_cancellation(mut self) -> Self {
         self.0["settings"]["bounds"]["cancel"] = json!(false);
         self
     }
 
-    /// Has the node call one discovery that all nodes share, in place of an agent on its machine.
+    /// Makes the node poll a discovery service that all nodes share, instead of an agent on its own machine.
     pub fn shared_discovery(mut self) -> Self {
         self.0["settings"]["registry_mode"] = json!("ask");
         self
     }
 
-    /// Sets how many nodes there are.
+    /// Sets the number of nodes in the fleet.
     pub fn node_count(mut self, count: u32) -> Self {
         self.0["settings"]["n_instances"] = json!(count);
         self
     }
 
-    /// Sets how many descriptors the node may hold.
+    /// Sets the maximum number of file descriptors that the node may use.
     pub fn descriptors(mut self, count: u32) -> Self {
         self.0["limits"]["sockets"] = json!(count);
         self
     }
 
-    /// The configuration file.
+    /// Returns the content of the configuration file.
     pub fn to_text(&self) -> String {
         self.0.to_string()
     }
 
-    /// Starts the node.
+    /// Starts a node with this configuration.
     pub fn start(&self) -> EdgeProcess {
         EdgeProcess::start(&self.to_text())
     }
--- a/tests/fakes/counter.rs
+++ b/tests/fakes/counter.rs
@@ -1,4 +1,4 @@
-//! A fake counter service whose every reply the test gives itself.
+//! A fake counter service. The test itself sends the reply to each call.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,12 +7,12 @@
 
 use super::TEST_TIMEOUT;
 
-/// Words of an `INCRTTL` call: command, name, amount, lifetime.
+/// Number of words in an `INCRTTL` call: command, name, amount, lifetime.
 const CALL_WORDS: usize = 4;
 
-/// A call that has arrived, to be answered by the test.
+/// A call that has arrived and that the test answers.
 pub struct CounterCall {
-    /// The counter's name.
+    /// Name of the counter.
     pub name: String,
     /// The units to add.
     pub amount: f64,
@@ -20,44 +20,44 @@
 }
 
 impl CounterCall {
-    /// The node's end of the connection that it arrived on.
+    /// Returns the node's address of the connection on which the call arrived.
     pub fn node_address(&self) -> SocketAddr {
-        self.stream.peer_addr().expect("a peer")
+        self.stream.peer_addr().expect("failed to get the node's address of the connection")
     }
 
-    /// Replies with the counter's total.
+    /// Replies with `total` as the counter's total, in units.
     pub fn reply_total(&mut self, total: f64) {
         let text = total.to_string();
         self.send_raw(&format!("${}\r\n{text}\r\n", text.len()));
     }
 
-    /// Sends this text and leaves the connection open.
+    /// Sends `text` as it is and leaves the connection open.
     pub fn send_raw(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).expect("an open connection");
+        self.stream.write_all(text.as_bytes()).expect("failed to write to the connection");
     }
 
-    /// Closes the connection.
+    /// Closes the connection on which the call arrived.
     pub fn close(self) {
-        self.stream.shutdown(Shutdown::Both).expect("an open connection");
+        self.stream.shutdown(Shutdown::Both).expect("failed to shut down the connection");
     }
 }
 
 /// A fake counter service.
 pub struct FakeCounter {
-    /// Where it listens.
+    /// Address on which the service listens.
     pub address: SocketAddr,
     calls: Receiver<CounterCall>,
 }
 
 impl FakeCounter {
-    /// Starts a service on a free port.
+    /// Starts a service on a free loopback port.
     pub fn start() -> FakeCounter {
-        FakeCounter::with_listener(TcpListener::bind("127.0.0.1:0").expect("a port"))
+        FakeCounter::with_listener(TcpListener::bind("127.0.0.1:0").expect("failed to bind a loopback port"))
     }
 
-    /// Starts a service on this listener.
+    /// Starts a service that accepts connections from `listener`.
     pub fn with_listener(listener: TcpListener) -> FakeCounter {
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("failed to get the listener's address");
         let (sender, calls) = channel();
         spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -68,24 +68,25 @@
         FakeCounter { address, calls }
     }
 
-    /// The next call, if it has arrived.
+    /// Returns the next call. Returns `None` if it has not arrived yet.
     pub fn poll_call(&self) -> Option<CounterCall> {
         self.calls.try_recv().ok()
     }
 
-    /// The next call.
+    /// Waits for the next call and returns it. Panics if none arrives within [`TEST_TIMEOUT`].
     pub fn next_call(&self) -> CounterCall {
-        self.calls.recv_timeout(TEST_TIMEOUT).expect("a call in time")
+        self.calls.recv_timeout(TEST_TIMEOUT).expect("no counter call arrived in time")
     }
 }
 
+/// Reads the calls of one connection and passes them on until the connection ends or the test has ended.
 fn read_calls(stream: &TcpStream, calls: &Sender<CounterCall>) {
-    let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+    let mut reader = BufReader::new(stream.try_clone().expect("failed to clone the connection"));
     while let Some(words) = read_words(&mut reader) {
         let call = CounterCall {
             name: words[1].clone(),
-            amount: words[2].parse().expect("a decimal number"),
-            stream: stream.try_clone().expect("a clone"),
+            amount: words[2].parse().expect("the amount of the call is not a decimal number"),
+            stream: stream.try_clone().expect("failed to clone the connection"),
         };
         if calls.send(call).is_err() {
             return;
@@ -93,7 +94,7 @@
     }
 }
 
-/// Reads the words of an `INCRTTL` call; none if the connection ends first.
+/// Reads the words of an `INCRTTL` call. Returns `None` if the connection ends first.
 fn read_words(reader: &mut impl BufRead) -> Option<Vec<String>> {
     let mut line = String::new();
     if reader.read_line(&mut line).ok()? == 0 {
@@ -103,7 +104,7 @@
     let mut words = Vec::new();
     for _ in 0..CALL_WORDS {
         let mut word = String::new();
-        // The line with the word's length, then the word.
+        // The first line holds the length of the word, the second line holds the word.
         reader.read_line(&mut word).ok()?;
         word.clear();
         reader.read_line(&mut word).ok()?;
--- a/tests/fakes/edge_process.rs
+++ b/tests/fakes/edge_process.rs
@@ -1,4 +1,4 @@
-//! The process of the node under test.
+//! Starts and controls the process of the node under test.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -12,40 +12,43 @@
 use super::client::Client;
 use super::TEST_TIMEOUT;
 
-/// The log line that says where the node listens starts with this.
+/// Prefix of the log line that contains the address on which the node listens.
 const LISTENING: &str = "edge-node: listening on ";
-/// Descriptors of a node whose configuration names none.
+/// Limit of file descriptors for a node whose configuration names none.
 const DEFAULT_DESCRIPTORS: u64 = 256;
 
-/// How a process ended.
+/// The exit status of a node and the rest of its log.
 pub struct ProcessEnd {
-    /// Its exit status.
+    /// Exit status of the process.
     pub status: ExitStatus,
-    /// The log that was not read before.
+    /// The part of the log that the test had not read before.
     pub log: String,
 }
 
-/// A running node, killed when dropped.
+/// A running node. The process is killed when this is dropped.
 pub struct EdgeProcess {
-    /// Where it listens.
+    /// Address on which the node listens.
     pub address: SocketAddr,
     child: Child,
     configuration_path: PathBuf,
     log: BufReader<ChildStderr>,
 }
 
+/// A process that has been started and may not listen yet.
 struct Launched {
     child: Child,
     configuration_path: PathBuf,
 }
 
+/// Starts a process with this configuration. The operating system limits its file descriptors to the
+/// configured number.
 fn launch(configuration: &str) -> Launched {
     static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
     let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     let file_name = format!("edge-node-{}-{number}.json", std::process::id());
     let configuration_path = std::env::temp_dir().join(file_name);
-    std::fs::write(&configuration_path, configuration).expect("a file");
-    // The kernel itself enforces the node's descriptors.
+    std::fs::write(&configuration_path, configuration).expect("failed to write the configuration file");
+    // With `ulimit` the kernel enforces the limit of descriptors.
     let descriptors = descriptors_of(configuration);
     let limited = format!("ulimit -n {descriptors}; exec {}", env!("CARGO_BIN_EXE_edge-node"));
     let child = Command::new("sh")
@@ -53,33 +56,44 @@
         .env("PROXY_CONFIG", &configuration_path)
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the node starts");
+        .expect("failed to start the node");
     Launched { child, configuration_path }
 }
 
-/// How many descriptors a configuration allows.
+/// Returns the number of file descriptors that a configuration allows, or [`DEFAULT_DESCRIPTORS`] if it names
+/// none or is malformed.
 fn descriptors_of(configuration: &str) -> u64 {
     let configuration = serde_json::from_str::<Value>(configuration).unwrap_or_default();
     configuration["limits"]["sockets"].as_u64().unwrap_or(DEFAULT_DESCRIPTORS)
 }
 
-/// Starts a node that ends by itself and returns how.
+/// Starts a node that is expected to exit by itself, waits for its exit and returns its exit status and log.
 pub fn start_until_end(configuration: &str) -> ProcessEnd {
-    let output = launch(configuration).child.wait_with_output().expect("an end");
-    ProcessEnd { status: output.status, log: String::from_utf8(output.stderr).expect("text") }
+    let output = launch(configuration).child.wait_with_output().expect("failed to wait for the node's exit");
+    ProcessEnd { status: output.status, log: String::from_utf8(output.stderr).expect("the log is not UTF-8") }
 }
 
 impl EdgeProcess {
-    /// Starts a node and waits until it listens.
+    /// Starts a node with this configuration and waits until it listens.
     pub fn start(configuration: &str) -> EdgeProcess {
         let Launched { mut child, configuration_path } = launch(configuration);
-        let mut log = BufReader::new(child.stderr.take().expect("a log"));
+        let mut log =
+            BufReader::new(child.stderr.take().expect("the standard error of the node is not piped"));
         let mut line = String::new();
         while !line.starts_with(LISTENING) {
             line.clear();
-            assert!(log.read_line(&mut line).expect("a line") > 0, "the node has ended");
+            assert!(
+                log.read_line(&mut line).expect("failed to read the log") > 0,
+                "the node exited before it listened"
+            );
         }
-        let address = line.trim_end().rsplit(' ').next().expect("an address").parse().expect("an address");
+        let address = line
+            .trim_end()
+            .rsplit(' ')
+            .next()
+            .expect("the log line has no address")
+            .parse()
+            .expect("the log line does not end with an address");
         EdgeProcess { address, child, configuration_path, log }
     }
 
@@ -90,9 +104,10 @@
 
     /// Connects clients that have all sent their text before the node accepts the first of them.
     ///
-    /// With all descriptors in use the node closes a connection that stays silent, and on a busy machine that may be
-    /// one on which the test has not written yet. While the node is suspended the kernel completes the handshakes
-    /// in its backlog, and the node finds each connection with its bytes.
+    /// If all descriptors are in use, the node closes connections on which nothing arrives. On a busy machine
+    /// this could close a connection on which the test has not written yet. Therefore the node is suspended
+    /// while the clients connect and write. Meanwhile the kernel completes the handshakes in the node's
+    /// backlog, and when the node resumes, each connection already has its bytes.
     pub fn connect_having_sent<const COUNT: usize>(
         &self,
         texts: [impl AsRef<str>; COUNT],
@@ -106,32 +121,37 @@
         })
     }
 
-    /// Does something while the process is suspended. It must not wait for anything that the node does. If it panics
-    /// the node is killed, which needs no resuming.
-    pub fn while_suspended<T>(&self, act: impl FnOnce() -> T) -> T {
+    /// Calls `action` while the process is suspended and returns its result. `action` must not wait for
+    /// anything that the node does. If `action` panics, the process is not resumed; dropping this kills it,
+    /// which works on a suspended process too.
+    pub fn while_suspended<T>(&self, action: impl FnOnce() -> T) -> T {
         self.signal("STOP");
         self.wait_until_suspended();
-        let result = act();
+        let result = action();
         self.signal("CONT");
         result
     }
 
-    /// Replaces the configuration file and signals that.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, configuration: &str) {
         let next_path = self.configuration_path.with_extension("next");
-        std::fs::write(&next_path, configuration).expect("a file");
-        std::fs::rename(&next_path, &self.configuration_path).expect("a file");
+        std::fs::write(&next_path, configuration).expect("failed to write the configuration file");
+        std::fs::rename(&next_path, &self.configuration_path)
+            .expect("failed to replace the configuration file");
         self.signal("HUP");
     }
 
-    /// The next line of the log.
+    /// Waits for the next line of the log and returns it. Panics if the node exits first.
     pub fn next_log_line(&mut self) -> String {
         let mut line = String::new();
-        assert!(self.log.read_line(&mut line).expect("a line") > 0, "the node has ended");
+        assert!(
+            self.log.read_line(&mut line).expect("failed to read the log") > 0,
+            "the node exited before it wrote a further log line"
+        );
         line
     }
 
-    /// Waits for a line of the log that contains this text.
+    /// Waits for a line of the log that contains `text`. Lines before it are skipped.
     pub fn wait_for_log_line(&mut self, text: &str) {
         loop {
             if self.next_log_line().contains(text) {
@@ -140,13 +160,13 @@
         }
     }
 
-    /// Starts a graceful shutdown.
+    /// Starts a graceful shutdown with SIGTERM.
     pub fn terminate(&self) {
         self.signal("TERM");
     }
 
-    /// Starts a graceful shutdown and waits until it has begun: what comes at the same time as the signal may still
-    /// be answered as if there were none.
+    /// Starts a graceful shutdown with SIGTERM and waits until the node has begun it. Until then, the node
+    /// may answer requests as if no shutdown had been requested.
     pub fn terminate_and_wait(&self) {
         self.terminate();
         loop {
@@ -158,31 +178,33 @@
         }
     }
 
-    /// Sends the process a signal, by its name without `SIG`.
+    /// Sends the process a signal. `name` is the name of the signal without `SIG`.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
-        assert!(Command::new("sh").args(["-c", &kill]).status().expect("a shell").success());
+        assert!(Command::new("sh").args(["-c", &kill]).status().expect("failed to run a shell").success());
     }
 
-    /// Waits until the process ends.
+    /// Waits until the process exits, and returns its exit status and the rest of its log.
     pub fn wait_for_end(mut self) -> ProcessEnd {
         let mut log = String::new();
-        self.log.read_to_string(&mut log).expect("the log");
-        ProcessEnd { status: self.child.wait().expect("an end"), log }
+        self.log.read_to_string(&mut log).expect("failed to read the log");
+        ProcessEnd { status: self.child.wait().expect("failed to wait for the node's exit"), log }
     }
 
-    /// The signal is only sent when `kill` ends, and the process may still run.
+    /// Waits until the process is suspended. When `kill` returns, the signal has been sent, but the process
+    /// may still be running.
     fn wait_until_suspended(&self) {
         let path = format!("/proc/{}/stat", self.child.id());
         let until = Instant::now() + TEST_TIMEOUT;
         loop {
-            let stat = std::fs::read_to_string(&path).expect("the node runs");
-            // The state comes after the name, which may hold anything.
-            let (_, after_name) = stat.rsplit_once(") ").expect("a name");
+            let stat = std::fs::read_to_string(&path).expect("failed to read the process state");
+            // The state follows the name of the process in parentheses. The name may contain any characters,
+            // so the last closing parenthesis is its end.
+            let (_, after_name) = stat.rsplit_once(") ").expect("the process state has no process name");
             if after_name.starts_with('T') {
                 return;
             }
-            assert!(Instant::now() < until, "the node is not suspended: {stat}");
+            assert!(Instant::now() < until, "the node was not suspended in time: {stat}");
             std::thread::yield_now();
         }
     }
@@ -190,7 +212,7 @@
 
 impl Drop for EdgeProcess {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/tests/fakes/mod.rs
+++ b/tests/fakes/mod.rs
@@ -1,5 +1,6 @@
-//! Peers of an edge node under test, on loopback sockets with ports of their own: endpoints whose every response the
-//! test gives itself, discovery, a counter service and clients. Tests are ordered by what has arrived, not by time.
+//! Starts an edge node under test and its peers: clients, endpoints, discovery and a counter service. The
+//! peers use loopback sockets, and each has its own port. The test itself sends the responses of endpoints
+//! and of the counter service. A test proceeds when something has arrived, not after a fixed time.
 
 #![allow(dead_code, unused_imports, reason = "each test file that includes this module uses a part of it")]
 
@@ -25,5 +26,6 @@
 pub use setups::{assert_failed, assert_served_by, one_endpoint, two_endpoints, OneEndpoint, TwoEndpoints};
 pub use unused_ports::{unreachable_address, ReservedPort};
 
-/// How long a test waits for what has to arrive: far longer than anything here takes, on however slow a machine.
+/// How long a test waits for something that must arrive. This is far longer than any step of a test takes,
+/// even on a slow machine.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
--- a/tests/fakes/setups.rs
+++ b/tests/fakes/setups.rs
@@ -1,4 +1,4 @@
-//! What many tests start from, and what they assert.
+//! Setups and assertions that many tests share.
 
 use super::client::{Client, RequestSpec};
 use super::configuration::{active, endpoint_entry, NodeConfiguration};
@@ -6,29 +6,29 @@
 use super::endpoint::FakeEndpoint;
 use super::http::HttpMessage;
 
-/// A node with one endpoint, and a client.
+/// A node with one endpoint, and a client that is connected to the node.
 pub struct OneEndpoint {
-    /// The only endpoint of the node's list.
+    /// The only endpoint on the node's endpoint list.
     pub endpoint: FakeEndpoint,
-    /// The node.
+    /// The process of the node.
     pub edge: EdgeProcess,
     /// A connected client.
     pub client: Client,
 }
 
-/// A node with two endpoints, and a client.
+/// A node with two endpoints, and a client that is connected to the node.
 pub struct TwoEndpoints {
     /// The endpoint in the node's own zone.
     pub first: FakeEndpoint,
-    /// The endpoint in the zone that the test names.
+    /// The endpoint in the zone given to [`two_endpoints`].
     pub second: FakeEndpoint,
-    /// The node.
+    /// The process of the node.
     pub edge: EdgeProcess,
     /// A connected client.
     pub client: Client,
 }
 
-/// Starts a node with one endpoint in its own zone.
+/// Starts a node with one endpoint in its own zone, and connects a client.
 pub fn one_endpoint() -> OneEndpoint {
     let endpoint = FakeEndpoint::start();
     let edge = NodeConfiguration::new(&[active("s-1", endpoint.address)]).start();
@@ -36,7 +36,8 @@
     OneEndpoint { endpoint, edge, client }
 }
 
-/// Starts a node with an endpoint in its own zone `a` and another in this zone.
+/// Starts a node with an endpoint in its own zone `a` and another endpoint in `second_zone`, and connects a
+/// client.
 pub fn two_endpoints(second_zone: &str) -> TwoEndpoints {
     let first = FakeEndpoint::start();
     let second = FakeEndpoint::start();
@@ -46,13 +47,14 @@
     TwoEndpoints { first, second, edge, client }
 }
 
-/// Asserts that a response says failed: neither served nor rejected.
+/// Asserts that a response says that the request failed: the request was neither served nor rejected.
 pub fn assert_failed(response: &HttpMessage) {
     assert_ne!(response.status(), 200, "{}", response.first);
     assert!(!response.is_rejected(), "{}", response.first);
 }
 
-/// Sends a request, answers it with 200 at this endpoint, and asserts that the client gets that.
+/// Sends a request, answers it with status 200 at `endpoint`, and asserts that the client receives this
+/// response.
 pub fn assert_served_by(endpoint: &FakeEndpoint, client: &mut Client, request: &RequestSpec) {
     client.send(request);
     let received = endpoint.next_request();
--- a/tests/fakes/unused_ports.rs
+++ b/tests/fakes/unused_ports.rs
@@ -1,41 +1,45 @@
-//! Ports that nobody listens on.
+//! Loopback ports on which nothing listens.
 
 use std::net::{SocketAddr, TcpListener};
 
 use tokio::net::TcpSocket;
 
-/// Connections that the kernel keeps until they are accepted.
+/// Maximum number of connections that the kernel queues before the test accepts them.
 const BACKLOG: u32 = 64;
 
-/// The port of a peer that is down: connections are refused until the test listens on it.
+/// The bound port of a peer that is down. Connections are refused until the test listens on the port.
 pub struct ReservedPort {
-    /// The address.
+    /// The loopback address with the port.
     pub address: SocketAddr,
     socket: TcpSocket,
 }
 
 impl ReservedPort {
-    /// Reserves a free port.
+    /// Binds a free loopback port.
     pub fn new() -> ReservedPort {
-        let socket = TcpSocket::new_v4().expect("a socket");
-        socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
-        ReservedPort { address: socket.local_addr().expect("an address"), socket }
+        let socket = TcpSocket::new_v4().expect("failed to create a socket");
+        socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("failed to bind a loopback port");
+        ReservedPort { address: socket.local_addr().expect("failed to get the socket's address"), socket }
     }
 
-    /// Listens on the port.
+    /// Listens on the port and returns the listener.
     pub fn listen(self) -> TcpListener {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_io().build().expect("a runtime");
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_io()
+            .build()
+            .expect("failed to build a runtime");
         let listener =
             runtime.block_on(async { self.socket.listen(BACKLOG).and_then(|listener| listener.into_std()) });
-        let listener = listener.expect("a listener");
-        listener.set_nonblocking(false).expect("a listener");
+        let listener = listener.expect("failed to listen on the port");
+        listener.set_nonblocking(false).expect("failed to set the listener to blocking mode");
         listener
     }
 }
 
-/// An address where connections are refused for as long as the tests run.
+/// Returns an address at which connections are refused until the test process exits.
 ///
-/// The port stays bound: one that is released may at once be another test's, which would get this one's calls.
+/// The port stays bound. If it were released, another test could bind it and would then receive the calls of
+/// this test.
 pub fn unreachable_address() -> SocketAddr {
     let reserved = ReservedPort::new();
     let address = reserved.address;
--- a/tests/node_configuration.rs
+++ b/tests/node_configuration.rs
@@ -1,4 +1,4 @@
-//! Unusable configurations at the start, and a new configuration while the node runs.
+//! A node exits if its configuration is unusable, and applies new service addresses while it runs.
 
 mod fakes;
 
@@ -12,8 +12,8 @@
 #[test]
 fn unusable_configuration_ends_the_node_with_one_line() {
     let with = |field: &str, value: &str| NodeConfiguration::new(&[]).text(field, value).to_text();
-    let other_listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address_in_use = other_listener.local_addr().expect("an address");
+    let other_listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind a loopback port");
+    let address_in_use = other_listener.local_addr().expect("failed to get the listener's address");
     let unusable = [
         "{".to_string(),
         "{}".to_string(),
@@ -25,9 +25,9 @@
     ];
     for configuration in unusable {
         let end = start_until_end(&configuration);
-        assert!(!end.status.success(), "{configuration}");
-        assert!(end.log.starts_with("edge-node: "), "{}", end.log);
-        assert_eq!(end.log.lines().count(), 1, "{}", end.log);
+        assert!(!end.status.success(), "the node accepted this configuration: {configuration}");
+        assert!(end.log.starts_with("edge-node: "), "unexpected log: {}", end.log);
+        assert_eq!(end.log.lines().count(), 1, "expected one line, got: {}", end.log);
     }
 }
 
@@ -38,18 +38,20 @@
     let old_discovery = FakeDiscovery::start();
     let old_counter = FakeCounter::start();
     let new_counter = FakeCounter::start();
-    // Nobody replies in place of the counter service at the end: the last calls take this long.
+    // The test does not answer the last calls to the counter service, so these calls end only at their
+    // time-out. It is 3 s here.
     let configuration = NodeConfiguration::new(&[active("s-1", old_endpoint.address)])
         .discovery(old_discovery.address)
         .counter(old_counter.address)
         .counter_timeout(3_000_000);
     let mut edge = configuration.start();
     old_discovery.wait_for_watch();
-    // A call in flight to the old counter service ends there, though the node has moved meanwhile.
+    // The node moves to a new counter service while a call is in flight. The old counter service answers this
+    // call.
     let mut client = edge.connect();
     client.send(&paid_request("post", "p-1"));
     let mut call = old_counter.next_call();
-    // The new discovery's versions are its own and lower; its list names another endpoint.
+    // The new discovery service has its own versions, which are lower, and its list has another endpoint.
     let new_discovery = FakeDiscovery::with_snapshot(0, &[active("s-2", new_endpoint.address)]);
     let configuration = configuration.discovery(new_discovery.address).counter(new_counter.address);
     edge.reload(&configuration.to_text());
@@ -57,20 +59,21 @@
     call.reply_total(call.amount);
     new_endpoint.next_request().respond_ok("moved");
     client.assert_ok("moved");
-    // Units that the lease does not hold are asked for at the new counter service.
+    // The node holds no lease for account 8, so it requests units from the new counter service.
     let text = paid_request("post", "p-2").text();
     client.send_raw(&text.replace("key=0000000000000007", "key=0000000000000008"));
     let mut call = new_counter.next_call();
     call.reply_total(call.amount);
     new_endpoint.next_request().respond_ok("ok");
     client.assert_ok("ok");
-    assert!(old_counter.poll_call().is_none(), "a call to the old counter service");
+    assert!(old_counter.poll_call().is_none(), "the old counter service received a call after the move");
 
-    // An unusable configuration is reported in one line each, and changes nothing. Nor does the same one again.
+    // The node logs one line for each unusable configuration and keeps the old one. A reload with an
+    // unchanged configuration has no effect either.
     for unusable in ["{", "{\"discovery\":\"nowhere\"}"] {
         edge.reload(unusable);
         let line = edge.next_log_line();
-        assert!(line.starts_with("edge-node: the old configuration stays: "), "{line}");
+        assert!(line.starts_with("edge-node: the old configuration stays: "), "unexpected log line: {line}");
     }
     edge.reload(&configuration.to_text());
     new_discovery.publish(active("s-2", new_endpoint.address));
