--- a/src/net/discovery/parser.rs
+++ b/src/net/discovery/parser.rs
@@ -184,7 +184,7 @@
     type Value = ParsedEntries;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("an array of endpoint entries")
+        formatter.write_str("a list of endpoints")
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut sequence: A) -> Result<ParsedEntries, A::Error> {
