--- a/crates/scale-bench/src/fleet.rs
+++ b/crates/scale-bench/src/fleet.rs
@@ -21,7 +21,7 @@
 mod endpoint_list;
 mod event_queue;
 mod failure;
-mod failure_name;
+mod failure_kind;
 mod figures;
 mod measurements;
 mod network;
@@ -32,7 +32,7 @@
 mod scenario;
 mod world;
 
-pub use failure_name::Failure;
+pub use failure_kind::Failure;
 pub use scenario::Scenario;
 
 /// The simulation continues for this long after the measured time, so that the last measured requests end. It
--- a/crates/scale-bench/src/fleet/failure.rs
+++ b/crates/scale-bench/src/fleet/failure.rs
@@ -9,7 +9,7 @@
 use rand::Rng;
 
 use super::counter::CounterMode;
-use super::failure_name::Failure;
+use super::failure_kind::Failure;
 use super::node::{EndpointIndex, NodeIndex};
 use super::scenario::Scenario;
 
--- a/crates/scale-bench/src/fleet/figures.rs
+++ b/crates/scale-bench/src/fleet/figures.rs
@@ -1,6 +1,6 @@
 //! Computes the figures of a fleet report from the measurements of the run.
 
-use super::failure_name::Failure;
+use super::failure_kind::Failure;
 use super::measurements::{Measurements, INTERVAL};
 use super::world::World;
 use crate::report::Report;
--- a/crates/scale-bench/src/fleet/scenario.rs
+++ b/crates/scale-bench/src/fleet/scenario.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 
 use super::accounts::ACCOUNT_INDEX_BITS;
-use super::failure_name::Failure;
+use super::failure_kind::Failure;
 use crate::error::BenchError;
 
 /// Time at which the simulated clock starts. It is far from 0, because some fields use 0 for "long ago".
