--- a/crates/scale-bench/src/decisions.rs
+++ b/crates/scale-bench/src/decisions.rs
@@ -40,7 +40,7 @@
 /// Creates a report with these arguments and without figures.
 fn new_report(options: &Options) -> Result<Report, BenchError> {
     let arguments = serde_json::to_value(options).map_err(|error| BenchError::System {
-        what: "cannot serialize the arguments",
+        operation: "cannot serialize the arguments",
         source: error.into(),
     })?;
     Ok(Report::new("decisions", arguments))
--- a/crates/scale-bench/src/decisions/comparison.rs
+++ b/crates/scale-bench/src/decisions/comparison.rs
@@ -28,7 +28,7 @@
 /// If the path of this program is unknown, or a run fails.
 pub fn compare(options: &Options, other_program: &Path) -> Result<Report, BenchError> {
     let this_program = std::env::current_exe()
-        .map_err(|source| BenchError::System { what: "cannot find this program", source })?;
+        .map_err(|source| BenchError::System { operation: "cannot find this program", source })?;
     let time_limit_at = Instant::now() + Duration::from_secs_f64(options.limit_s) * 2 * options.rounds;
     let other_servers = options.beside_servers.unwrap_or(options.servers);
     let other_nodes = options.beside_nodes.unwrap_or(options.nodes);
--- a/crates/scale-bench/src/decisions/measurement.rs
+++ b/crates/scale-bench/src/decisions/measurement.rs
@@ -131,7 +131,7 @@
     report.add("core_ticks", percent_of_core(load.timer_seconds), "%");
     report.add("core_changes", percent_of_core(load.list_change_seconds), "%");
     let counts = &load.counts;
-    report.add("answered", counts.answered as f64, "events");
+    report.add("answered", counts.served as f64, "events");
     report.add("cancelled", counts.cancelled as f64, "events");
     report.add("counter_calls", counts.counter_calls as f64, "events");
     report.add("failed", counts.failed as f64, "events");
--- a/crates/scale-bench/src/decisions/model.rs
+++ b/crates/scale-bench/src/decisions/model.rs
@@ -40,8 +40,8 @@
 /// Counts of what happened while the model was measured.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Counts {
-    /// Requests that got their response.
-    pub answered: u64,
+    /// Requests that were served.
+    pub served: u64,
     /// Attempts that the node cancelled.
     pub cancelled: u64,
     /// Calls to the counter service.
@@ -246,14 +246,14 @@
 
     fn draw_request(&mut self) -> NewRequest {
         self.requests += 1;
-        let under_quota = self.random.random_bool(self.options.quota_share);
+        let has_quota = self.random.random_bool(self.options.quota_share);
         let account = self.random.random_range(0..u64::from(self.options.customers));
         NewRequest {
             id: RequestId::from(format!("r{}", self.requests).as_str()),
             // Accounts with a quota have odd ids and accounts without one even ids, so they never overlap.
-            account: AccountId(2 * account + u64::from(under_quota)),
+            account: AccountId(2 * account + u64::from(has_quota)),
             class: CLASS_MIX[self.random.random_range(0..CLASS_MIX.len())],
-            plan: if under_quota { QUOTA_PLAN } else { UNLIMITED_PLAN },
+            plan: if has_quota { QUOTA_PLAN } else { UNLIMITED_PLAN },
             units: f64::from(self.random.random_range(1..=MAX_UNITS)),
             first_account_node: 0,
             account_node_count: 2,
@@ -272,7 +272,7 @@
     ) {
         let request_completed = outcome == Outcome::Ok;
         if request_completed && self.attempts.remove(&request).is_some() && self.measuring {
-            self.counts.answered += 1;
+            self.counts.served += 1;
         }
         let ended = EndedAttempt {
             request,
--- a/crates/scale-bench/src/error.rs
+++ b/crates/scale-bench/src/error.rs
@@ -10,10 +10,11 @@
 /// The reason why a run failed. Its text is the one line that the program prints.
 #[derive(Debug, thiserror::Error)]
 pub enum BenchError {
-    /// An argument parses, but its value can't be used.
+    /// An argument parses, but its value can't be used, or a run with these arguments has failed.
     #[error("{0}")]
     Argument(String),
-    /// The edge node could not be started, has exited by itself or has broken a rule of the soak.
+    /// The run of an edge node failed: the node could not be started, has exited by itself or has broken a rule
+    /// of the soak, or the run was interrupted or exceeded its time limit.
     #[error("the edge node: {0}")]
     EdgeNode(String),
     /// A file could not be read or written.
@@ -25,10 +26,10 @@
         source: std::io::Error,
     },
     /// An operation that the run needs has failed, such as listening on a port.
-    #[error("{what}: {source}")]
+    #[error("{operation}: {source}")]
     System {
-        /// The failed operation, such as `cannot print the result`.
-        what: &'static str,
+        /// The operation that failed, as a phrase such as `cannot print the result`.
+        operation: &'static str,
         /// The error of the operation.
         source: std::io::Error,
     },
--- a/crates/scale-bench/src/fleet.rs
+++ b/crates/scale-bench/src/fleet.rs
@@ -32,7 +32,7 @@
 mod scenario;
 mod world;
 
-pub use failure_kind::Failure;
+pub use failure_kind::FailureKind;
 pub use scenario::Scenario;
 
 /// The simulation continues for this long after the measured time, so that the last measured requests end. It
@@ -69,7 +69,7 @@
 pub fn measure(scenario: &Scenario) -> Result<Report, BenchError> {
     scenario.check()?;
     let arguments = serde_json::to_value(scenario).map_err(|error| BenchError::System {
-        what: "cannot serialize the arguments as JSON",
+        operation: "cannot serialize the arguments as JSON",
         source: error.into(),
     })?;
     let mut report = Report::new("fleet", arguments);
--- a/crates/scale-bench/src/fleet/accounts.rs
+++ b/crates/scale-bench/src/fleet/accounts.rs
@@ -140,12 +140,12 @@
 struct Profile {
     plan_size: usize,
     relative_rate: f64,
-    under_quota: bool,
+    has_quota: bool,
 }
 
 /// Factors that convert relative rates to requests/s.
 struct RateScale {
-    under_quota: f64,
+    with_quota: f64,
     unlimited: f64,
 }
 
@@ -161,14 +161,14 @@
             _ => 0.0,
         };
         RateScale {
-            under_quota: mix.rate * share / with_quota.max(1e-9),
+            with_quota: mix.rate * share / with_quota.max(1e-9),
             unlimited: mix.rate * (1.0 - share) / without_quota.max(1e-9),
         }
     }
 }
 
-fn total_rate(profiles: &[Profile], under_quota: bool) -> f64 {
-    let selected = profiles.iter().filter(|profile| profile.under_quota == under_quota);
+fn total_rate(profiles: &[Profile], has_quota: bool) -> f64 {
+    let selected = profiles.iter().filter(|profile| profile.has_quota == has_quota);
     selected.map(|profile| profile.relative_rate).sum::<f64>()
 }
 
@@ -182,8 +182,8 @@
     let plans = plans(&scale);
     let mut accounts = Vec::with_capacity(mix.count);
     for (index, profile) in profiles.into_iter().enumerate() {
-        let plan = if profile.under_quota { profile.plan_size } else { UNLIMITED_PLAN };
-        let scale = if profile.under_quota { scale.under_quota } else { scale.unlimited };
+        let plan = if profile.has_quota { profile.plan_size } else { UNLIMITED_PLAN };
+        let scale = if profile.has_quota { scale.with_quota } else { scale.unlimited };
         let full_bucket = ExactBucket { tokens: plans[plan].burst_units, updated_at: now };
         let random_bits = u64::from(random.random::<u32>()) << ACCOUNT_INDEX_BITS;
         accounts.push(Account {
@@ -206,7 +206,7 @@
     Profile {
         plan_size,
         relative_rate: PLAN_SIZES[plan_size].value * UTILIZATIONS[utilization].value,
-        under_quota: random.random::<f64>() < quota_share,
+        has_quota: random.random::<f64>() < quota_share,
     }
 }
 
@@ -219,7 +219,7 @@
 fn plans(scale: &RateScale) -> Vec<Plan> {
     let mut plans = Vec::with_capacity(PLAN_SIZES.len() + 1);
     for size in &PLAN_SIZES {
-        let quota_rate = (size.value * scale.under_quota * (1.0 + TWO_UNIT_SHARE)).max(1e-6);
+        let quota_rate = (size.value * scale.with_quota * (1.0 + TWO_UNIT_SHARE)).max(1e-6);
         plans.push(Plan {
             quota_units_per_second: quota_rate,
             burst_units: (quota_rate * BURST_SECONDS).max(MIN_BURST_UNITS),
--- a/crates/scale-bench/src/fleet/failure.rs
+++ b/crates/scale-bench/src/fleet/failure.rs
@@ -9,7 +9,7 @@
 use rand::Rng;
 
 use super::counter::CounterMode;
-use super::failure_kind::Failure;
+use super::failure_kind::FailureKind;
 use super::node::{EndpointIndex, NodeIndex};
 use super::scenario::Scenario;
 
@@ -72,9 +72,9 @@
     pub endpoint_zones: Vec<u32>,
 }
 
-/// The failure of one run and the nodes and endpoints that were drawn for it.
+/// The failure of one run, with the nodes and endpoints that were drawn for it.
 pub struct FailurePlan {
-    failure: Failure,
+    kind: FailureKind,
     starts_at: Micros,
     duration: Micros,
     zones: u32,
@@ -94,7 +94,7 @@
     /// Creates the plan of a scenario's failure.
     pub fn new(scenario: &Scenario) -> Self {
         FailurePlan {
-            failure: scenario.fail,
+            kind: scenario.fail,
             starts_at: scenario.failure_starts_at(),
             duration: scenario.fail_for_ms * 1_000,
             zones: scenario.zones,
@@ -111,9 +111,9 @@
     /// Returns the steps in the order in which they have to be scheduled. For a release, draws the endpoints
     /// to replace.
     pub fn schedule(&mut self, random: &mut StdRng, endpoint_count: usize) -> Vec<ScheduledStep> {
-        match self.failure {
-            Failure::Calm => Vec::new(),
-            Failure::Release => {
+        match self.kind {
+            FailureKind::Calm => Vec::new(),
+            FailureKind::Release => {
                 self.released = draw_share(random, endpoint_count, self.release_share);
                 self.release_schedule()
             }
@@ -145,47 +145,47 @@
 
     fn start(&mut self, random: &mut StdRng, layout: &FleetLayout) -> Vec<FailureEffect> {
         let node_count = layout.node_zones.len();
-        match self.failure {
-            Failure::RestartTenth => {
+        match self.kind {
+            FailureKind::RestartTenth => {
                 let nodes = draw(random, node_count, node_count.div_ceil(RESTARTED_NODE_DIVISOR));
                 nodes
                     .into_iter()
                     .flat_map(|node| [FailureEffect::StopNode(node), FailureEffect::BootNode(node)])
                     .collect()
             }
-            Failure::Rack => {
+            FailureKind::Rack => {
                 self.unresponsive_endpoints =
                     draw_share(random, layout.endpoint_zones.len(), self.rack_share);
                 self.hang()
             }
-            Failure::Zone => {
+            FailureKind::Zone => {
                 let zone = random.random_range(0..self.zones);
                 self.unresponsive_endpoints = indices_in_zone(&layout.endpoint_zones, zone);
                 self.unresponsive_nodes = indices_in_zone(&layout.node_zones, zone);
                 self.hang()
             }
-            Failure::HalfDown => {
+            FailureKind::HalfDown => {
                 self.unresponsive_nodes = draw(random, node_count, node_count / 2);
                 self.hang()
             }
-            Failure::RegionCut => {
+            FailureKind::RegionCut => {
                 let region = random.random_range(0..self.regions);
                 vec![FailureEffect::IsolateRegion(Some(region))]
             }
-            Failure::CounterSilent => vec![FailureEffect::SetCounterMode(CounterMode::Silent)],
-            Failure::CounterBusy => vec![FailureEffect::SetCounterMode(CounterMode::Busy)],
-            Failure::Calm | Failure::Release => Vec::new(),
+            FailureKind::CounterSilent => vec![FailureEffect::SetCounterMode(CounterMode::Silent)],
+            FailureKind::CounterBusy => vec![FailureEffect::SetCounterMode(CounterMode::Busy)],
+            FailureKind::Calm | FailureKind::Release => Vec::new(),
         }
     }
 
     fn end(&mut self) -> Vec<FailureEffect> {
-        match self.failure {
-            Failure::Rack | Failure::Zone | Failure::HalfDown => self.recover(),
-            Failure::RegionCut => vec![FailureEffect::IsolateRegion(None)],
-            Failure::CounterSilent | Failure::CounterBusy => {
+        match self.kind {
+            FailureKind::Rack | FailureKind::Zone | FailureKind::HalfDown => self.recover(),
+            FailureKind::RegionCut => vec![FailureEffect::IsolateRegion(None)],
+            FailureKind::CounterSilent | FailureKind::CounterBusy => {
                 vec![FailureEffect::SetCounterMode(CounterMode::Serving)]
             }
-            Failure::Calm | Failure::RestartTenth | Failure::Release => Vec::new(),
+            FailureKind::Calm | FailureKind::RestartTenth | FailureKind::Release => Vec::new(),
         }
     }
 
--- a/crates/scale-bench/src/node.rs
+++ b/crates/scale-bench/src/node.rs
@@ -51,7 +51,7 @@
 /// fails, or the run is interrupted.
 pub fn measure(options: &Options) -> Result<Report, BenchError> {
     options.check()?;
-    limits::allow_descriptors(options.descriptors())?;
+    limits::raise_descriptor_limit(options.descriptors())?;
     let data = limits::new_runtime(DATA_THREADS)?;
     let control = limits::new_runtime(CONTROL_THREADS)?;
     let result = data.block_on(measure_async(options, &control));
@@ -67,7 +67,7 @@
     let started = Peers::start(options, control, work, request_count).await?;
     let StartedPeers { peers, initial_list } = started;
     let snapshot = peers.agent.snapshot_text().map_err(|error| BenchError::System {
-        what: "cannot serialize the endpoint list",
+        operation: "cannot serialize the endpoint list",
         source: error.into(),
     })?;
     let configuration = configuration::write(options, peers.addresses(), initial_list)?;
@@ -81,7 +81,7 @@
         result = timeout(time_limit, run.measure(starting)) => result.unwrap_or_else(|_| {
             Err(BenchError::EdgeNode(format!("the run exceeded its time limit of {time_limit:?}")))
         }),
-        error = process.ended() => Err(error),
+        error = process.unexpected_exit() => Err(error),
         error = interruption => Err(error),
     };
     // The process is killed however the run ended, so that none is left behind.
@@ -103,9 +103,9 @@
 impl Run<'_> {
     async fn measure(self, starting: StartingNode) -> Result<Report, BenchError> {
         let ready_limit = Duration::from_secs_f64(self.options.ready_limit_s);
-        let edge = starting.listens(ready_limit).await?;
+        let edge = starting.wait_until_listening(ready_limit).await?;
         let mut report = figures::new_report(self.options);
-        report.add("ready_s", edge.ready(ready_limit).await?.as_secs_f64(), "s");
+        report.add("ready_s", edge.wait_until_ready(ready_limit).await?.as_secs_f64(), "s");
         report.add("list_bytes", self.list_bytes as f64, "bytes");
         report.add("agent_out_bytes_at_ready", self.peers.agent.byte_counts().sent as f64, "bytes");
         let phases =
--- a/crates/scale-bench/src/node/limits.rs
+++ b/crates/scale-bench/src/node/limits.rs
@@ -9,15 +9,15 @@
 
 use crate::error::BenchError;
 
-/// How long after the deadline clients still wait for a response, so that a late response can be told from a
-/// lost one.
-pub const MAX_LATENESS: Duration = Duration::from_secs(1);
+/// How long after the deadline clients still wait for a response, so that late responses can be distinguished
+/// from lost ones.
+pub const LATE_RESPONSE_WAIT: Duration = Duration::from_secs(1);
 
 /// Raises this process's limit of file descriptors to `needed`, if it is lower.
 ///
 /// # Errors
 /// Returns an error if `needed` is above the hard limit, or if the limit can't be raised.
-pub fn allow_descriptors(needed: u64) -> Result<(), BenchError> {
+pub fn raise_descriptor_limit(needed: u64) -> Result<(), BenchError> {
     let limit = getrlimit(Resource::Nofile);
     if limit.current.is_none_or(|current| current >= needed) {
         return Ok(());
@@ -31,7 +31,7 @@
     }
     let raised = setrlimit(Resource::Nofile, Rlimit { current: Some(needed), ..limit });
     raised.map_err(|error| BenchError::System {
-        what: "cannot raise the limit of file descriptors",
+        operation: "cannot raise the limit of file descriptors",
         source: error.into(),
     })
 }
@@ -42,7 +42,7 @@
 /// Returns an error if the threads can't be started.
 pub fn new_runtime(threads: usize) -> Result<Runtime, BenchError> {
     let built = Builder::new_multi_thread().worker_threads(threads).enable_all().build();
-    built.map_err(|source| BenchError::System { what: "cannot start threads", source })
+    built.map_err(|source| BenchError::System { operation: "cannot start threads", source })
 }
 
 /// Installs handlers for SIGINT and SIGTERM, and returns a future that completes when one of them arrives.
@@ -63,5 +63,5 @@
 }
 
 fn install_handler(kind: SignalKind) -> Result<Signal, BenchError> {
-    signal(kind).map_err(|source| BenchError::System { what: "cannot install signal handlers", source })
+    signal(kind).map_err(|source| BenchError::System { operation: "cannot install signal handlers", source })
 }
--- a/crates/scale-bench/src/node/load.rs
+++ b/crates/scale-bench/src/node/load.rs
@@ -44,7 +44,7 @@
             }
         }
     });
-    pacer.map_err(|source| BenchError::System { what: "cannot start a thread", source })?;
+    pacer.map_err(|source| BenchError::System { operation: "cannot start a thread", source })?;
     tokio::spawn(async move {
         while let Some(request) = next.recv().await {
             let clients = clients.clone();
--- a/crates/scale-bench/src/node/load/clients.rs
+++ b/crates/scale-bench/src/node/load/clients.rs
@@ -18,7 +18,7 @@
 use crate::fakes::endpoints::{request_id, WorkModel};
 use crate::fakes::hash::mix;
 use crate::node::configuration::{CLASSES, QUOTA_PLAN, UNLIMITED_PLAN};
-use crate::node::limits::MAX_LATENESS;
+use crate::node::limits::LATE_RESPONSE_WAIT;
 use crate::node::options::Options;
 
 /// A response that arrives up to this long after the deadline still counts as in time.
@@ -75,14 +75,14 @@
         }
     }
 
-    /// Sends a request now and returns how it ended. Waits for the response until [`MAX_LATENESS`] after the
+    /// Sends a request now and returns how it ended. Waits for the response until [`LATE_RESPONSE_WAIT`] after the
     /// deadline, and then counts the request as lost.
     pub async fn send(&self, request: ScheduledRequest, load_start: Instant) -> RequestResult {
         let due_at = load_start + request.due;
         let sent_at = Instant::now();
         let mut counts = ExchangeCounts::default();
         let exchange = self.exchange(&request, &mut counts);
-        let outcome = timeout_at(sent_at + self.deadline + MAX_LATENESS, exchange).await;
+        let outcome = timeout_at(sent_at + self.deadline + LATE_RESPONSE_WAIT, exchange).await;
         let ended_at = Instant::now();
         let in_time = ended_at <= sent_at + self.deadline + DEADLINE_TOLERANCE;
         let end = match outcome {
--- a/crates/scale-bench/src/node/options.rs
+++ b/crates/scale-bench/src/node/options.rs
@@ -7,7 +7,7 @@
 use clap::{Args, Parser};
 use serde::Serialize;
 
-use super::limits::MAX_LATENESS;
+use super::limits::LATE_RESPONSE_WAIT;
 use super::option_values::{AgentReturn, Arrivals, InitialList, Span, WorkTimes};
 use crate::error::BenchError;
 use crate::fakes::endpoint_list::MIN_NAME_LENGTH;
@@ -222,7 +222,7 @@
     /// that may be in flight, one for the endpoint side of each connection of the node, and a fixed number
     /// for its own files.
     pub fn descriptors(&self) -> u64 {
-        let in_flight = self.rate * (self.deadline_ms as f64 / 1e3 + MAX_LATENESS.as_secs_f64());
+        let in_flight = self.rate * (self.deadline_ms as f64 / 1e3 + LATE_RESPONSE_WAIT.as_secs_f64());
         (IN_FLIGHT_MARGIN * in_flight) as u64 + u64::from(self.sockets) + OWN_DESCRIPTORS
     }
 
@@ -230,7 +230,7 @@
     pub fn time_limit(&self) -> Duration {
         let configured_s = self.ready_limit_s + self.settle_s + self.idle_s + self.load_s;
         let configured = Duration::from_secs_f64(configured_s);
-        configured + Duration::from_millis(self.deadline_ms) + MAX_LATENESS + TIME_MARGIN
+        configured + Duration::from_millis(self.deadline_ms) + LATE_RESPONSE_WAIT + TIME_MARGIN
     }
 }
 
--- a/crates/scale-bench/src/node/peers.rs
+++ b/crates/scale-bench/src/node/peers.rs
@@ -52,7 +52,7 @@
         request_count: u32,
     ) -> Result<StartedPeers, BenchError> {
         let endpoints = Endpoints::start(work, request_count).map_err(|source| BenchError::System {
-            what: "cannot listen for the endpoints on the loopback device alone",
+            operation: "cannot listen for the endpoints on the loopback device alone",
             source,
         })?;
         let mut list = EndpointList::new(ListShape {
@@ -148,14 +148,14 @@
     }
 }
 
-/// Runs `start` in a runtime and returns its result. `what` says what failed in the text of an error.
+/// Runs `start` in a runtime and returns its result. An error names `operation` as the operation that failed.
 async fn start_in<T: Send + 'static>(
     runtime: &Runtime,
-    what: &'static str,
+    operation: &'static str,
     start: impl Future<Output = io::Result<T>> + Send + 'static,
 ) -> Result<T, BenchError> {
     let started = runtime.spawn(start).await.unwrap_or_else(|error| Err(error.into()));
-    started.map_err(|source| BenchError::System { what, source })
+    started.map_err(|source| BenchError::System { operation, source })
 }
 
 async fn replace_list(agent: Arc<DiscoveryAgent>, at: Instant) {
--- a/crates/scale-bench/src/node/process.rs
+++ b/crates/scale-bench/src/node/process.rs
@@ -107,8 +107,9 @@
 }
 
 impl Process {
-    /// Waits until the process exits by itself, and returns an error with its exit status and last log line.
-    pub async fn ended(&mut self) -> BenchError {
+    /// Waits until the process exits by itself, without a time limit, and returns an error with its exit status
+    /// and last log line. The last lines of the log are waited for, too, at most [`LOG_DRAIN_TIME`].
+    pub async fn unexpected_exit(&mut self) -> BenchError {
         let status = self.child.wait().await;
         if let Some(log_reader) = self.log_reader.take() {
             // The last lines of the log may not have been read yet. The time limit is needed because a
@@ -120,7 +121,7 @@
                 let last_line = lock(&self.log).last_line.clone();
                 BenchError::EdgeNode(format!("exited unexpectedly, {status}, last log line: {last_line}"))
             }
-            Err(source) => BenchError::System { what: "cannot wait for the edge node's exit", source },
+            Err(source) => BenchError::System { operation: "cannot wait for the edge node's exit", source },
         }
     }
 
@@ -134,7 +135,7 @@
 
     /// Waits at most `limit` until the process exits, and returns its exit status. Returns `None` if the
     /// process has not exited by then or can't be waited for.
-    pub async fn exit_status(&mut self, limit: Duration) -> Option<ExitStatus> {
+    pub async fn wait_for_exit(&mut self, limit: Duration) -> Option<ExitStatus> {
         timeout(limit, self.child.wait()).await.ok()?.ok()
     }
 
@@ -182,12 +183,13 @@
 }
 
 impl StartingNode {
-    /// Waits until the node reports its listen address. If the process exits before, this waits until the
-    /// limit, and [`Process::ended`] reports the exit.
+    /// Waits until the node reports its listen address. If the process exits before that, this function still
+    /// waits until the limit; the exit is reported by [`Process::unexpected_exit`], which can be waited for at
+    /// the same time.
     ///
     /// # Errors
     /// Returns an error if the node has not reported its address within `limit`.
-    pub async fn listens(self, limit: Duration) -> Result<EdgeNode, BenchError> {
+    pub async fn wait_until_listening(self, limit: Duration) -> Result<EdgeNode, BenchError> {
         let StartingNode { address, process_id, log, started_at } = self;
         let reported = async {
             match address.await {
@@ -208,7 +210,7 @@
     ///
     /// # Errors
     /// Returns an error if the node is not ready once `limit` has passed since the process was started.
-    pub async fn ready(&self, limit: Duration) -> Result<Duration, BenchError> {
+    pub async fn wait_until_ready(&self, limit: Duration) -> Result<Duration, BenchError> {
         loop {
             if let Ok(Some(StatusCode::OK)) = timeout(READINESS_TIMEOUT, self.readiness_status()).await {
                 return Ok(self.started_at.elapsed());
--- a/crates/scale-bench/src/report.rs
+++ b/crates/scale-bench/src/report.rs
@@ -86,7 +86,7 @@
 /// If the result can't be encoded or printed, or the file can't be written.
 pub fn print_result(result: &impl Serialize, table: &str, output: &Output) -> Result<(), BenchError> {
     let json = serde_json::to_string_pretty(result).map_err(|error| BenchError::System {
-        what: "cannot encode the result as JSON",
+        operation: "cannot encode the result as JSON",
         source: error.into(),
     })?;
     if let Some(path) = &output.out {
@@ -94,7 +94,7 @@
     }
     let text = if output.json { &json } else { table };
     writeln!(std::io::stdout(), "{}", text.trim_end())
-        .map_err(|source| BenchError::System { what: "cannot print the result", source })
+        .map_err(|source| BenchError::System { operation: "cannot print the result", source })
 }
 
 fn write_file(path: &Path, text: &str) -> Result<(), BenchError> {
--- a/crates/scale-bench/src/slopes.rs
+++ b/crates/scale-bench/src/slopes.rs
@@ -28,7 +28,7 @@
     let sizes = options.check()?;
     let program = measured_program(&options)?;
     let arguments = serde_json::to_value(&options).map_err(|error| BenchError::System {
-        what: "cannot serialize the arguments",
+        operation: "cannot serialize the arguments",
         source: error.into(),
     })?;
     let runs = run_all(&options, &program, &sizes);
@@ -47,7 +47,7 @@
     match &options.program {
         Some(program) => Ok(program.clone()),
         None => std::env::current_exe()
-            .map_err(|source| BenchError::System { what: "cannot find this program", source }),
+            .map_err(|source| BenchError::System { operation: "cannot find this program", source }),
     }
 }
 
--- a/crates/scale-bench/src/soak.rs
+++ b/crates/scale-bench/src/soak.rs
@@ -58,7 +58,7 @@
 /// If a node or its peers can't be started, or the results can't be written.
 pub fn play_all(options: &Options) -> Result<Vec<PlayResult>, BenchError> {
     options.check()?;
-    limits::allow_descriptors(u64::from(options.parallel) * DESCRIPTORS_PER_PLAY + OTHER_DESCRIPTORS)?;
+    limits::raise_descriptor_limit(u64::from(options.parallel) * DESCRIPTORS_PER_PLAY + OTHER_DESCRIPTORS)?;
     let runtime = limits::new_runtime(THREADS)?;
     let results = runtime.block_on(play_in_parallel(options));
     runtime.shutdown_background();
@@ -79,7 +79,7 @@
     let mut results = Vec::new();
     while let Some(played) = plays.join_next().await {
         let result = played.map_err(|error| BenchError::System {
-            what: "the task of a play panicked or was cancelled",
+            operation: "the task of a play panicked or was cancelled",
             source: std::io::Error::other(error),
         })??;
         print_result(&result);
--- a/crates/scale-bench/src/soak/client.rs
+++ b/crates/scale-bench/src/soak/client.rs
@@ -221,7 +221,7 @@
         Ok(Some(message)) => match message.status() {
             Some(status) => {
                 let is_reusable = message.header("connection") != Some("close");
-                (Ending::Answered { status, body: message.body }, is_reusable)
+                (Ending::Responded { status, body: message.body }, is_reusable)
             }
             None => (Ending::Incomplete, false),
         },
--- a/crates/scale-bench/src/soak/flood.rs
+++ b/crates/scale-bench/src/soak/flood.rs
@@ -51,7 +51,7 @@
         };
         clients.spawn(run_client(address, client, text.clone()));
     }
-    clients.join_all().await.into_iter().filter(|was_not_given_up| *was_not_given_up).count()
+    clients.join_all().await.into_iter().filter(|is_still_held| *is_still_held).count()
 }
 
 /// Runs one client of the flood. Returns whether it sent a part of a request and was neither answered nor
--- a/crates/scale-bench/src/soak/play.rs
+++ b/crates/scale-bench/src/soak/play.rs
@@ -48,7 +48,7 @@
 const LATENESS_INTERVAL: Duration = Duration::from_millis(10);
 /// If a timer of this process fired later than this, the play says nothing about the node and counts as
 /// disturbed.
-const MAX_LATENESS: Duration = Duration::from_millis(50);
+const MAX_TIMER_LATENESS: Duration = Duration::from_millis(50);
 /// Number of the first client that connects for one request during a flood; the further ones follow.
 const FIRST_NEWCOMER_NUMBER: u64 = 1_000;
 /// Quota of an account whose plan has one, in units per second, and its burst, in units.
@@ -127,7 +127,7 @@
     violations.extend(request_log.violations());
     let lateness = lateness.greatest();
     let verdict = match violations.is_empty() {
-        _ if lateness > MAX_LATENESS => Verdict::Disturbed,
+        _ if lateness > MAX_TIMER_LATENESS => Verdict::Disturbed,
         true => Verdict::Passed,
         false => Verdict::Failed,
     };
@@ -156,8 +156,8 @@
         let file =
             configuration::write(&options, peers.addresses(0), EndpointList::new(list.clone()).snapshot())?;
         let StartedProcess { process, node } = StartedProcess::start(program, file.path())?;
-        let edge = node.listens(READY_LIMIT).await?;
-        edge.ready(READY_LIMIT).await?;
+        let edge = node.wait_until_listening(READY_LIMIT).await?;
+        edge.wait_until_ready(READY_LIMIT).await?;
         let setup = ClientSetup {
             address: edge.address,
             seed: plan.seed,
@@ -282,10 +282,10 @@
             sleep(SHUTDOWN_SIGNAL_PAUSE).await;
             self.process.signal(signal(*further));
         }
-        let status = self.process.exit_status(kill_at.saturating_duration_since(Instant::now())).await;
+        let status = self.process.wait_for_exit(kill_at.saturating_duration_since(Instant::now())).await;
         if status.is_none() {
             self.process.signal(Signal::KILL);
-            let _ = self.process.exit_status(READY_LIMIT).await;
+            let _ = self.process.wait_for_exit(READY_LIMIT).await;
         }
         let bad_status = status.filter(|status| !status.success()).map(|status| status.to_string());
         let what = bad_status.into_iter().chain(self.process.panic_line().await);
@@ -394,8 +394,8 @@
     }
 }
 
-fn system_error(what: &'static str, source: std::io::Error) -> BenchError {
-    BenchError::System { what, source }
+fn system_error(operation: &'static str, source: std::io::Error) -> BenchError {
+    BenchError::System { operation, source }
 }
 
 /// Measures how late the timers of this process fire.
--- a/crates/scale-bench/src/soak/rules.rs
+++ b/crates/scale-bench/src/soak/rules.rs
@@ -92,7 +92,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Ending {
     /// The response was received completely.
-    Answered {
+    Responded {
         /// The status of the response.
         status: u16,
         /// The body of the response.
@@ -185,7 +185,7 @@
     /// Returns whether a request that was sent at `since` or later got a response with status 200.
     pub fn has_served_since(&self, since: Instant) -> bool {
         let is_served = |request: &SentRequest| {
-            request.sent_at >= since && matches!(request.ending, Some(Ending::Answered { status: 200, .. }))
+            request.sent_at >= since && matches!(request.ending, Some(Ending::Responded { status: 200, .. }))
         };
         lock(&self.records).requests.values().any(is_served)
     }
@@ -196,8 +196,8 @@
         let mut counts = Counts { requests: records.requests.len(), ..Counts::default() };
         for request in records.requests.values() {
             match &request.ending {
-                Some(Ending::Answered { status: 200, .. }) => counts.served += 1,
-                Some(Ending::Answered { .. }) => counts.not_served += 1,
+                Some(Ending::Responded { status: 200, .. }) => counts.served += 1,
+                Some(Ending::Responded { .. }) => counts.not_served += 1,
                 Some(Ending::Closed { .. }) => counts.excused += 1,
                 Some(Ending::ClosedByClient { .. }) => counts.left += 1,
                 Some(Ending::Incomplete | Ending::TimedOut) | None => {}
@@ -231,7 +231,7 @@
     let id = id.to_owned();
     let attempts = attempts.len();
     match request.ending.as_ref()? {
-        Ending::Answered { status: 200, body } if !body.starts_with(id.as_bytes()) => {
+        Ending::Responded { status: 200, body } if !body.starts_with(id.as_bytes()) => {
             let body = String::from_utf8_lossy(&body[..body.len().min(40)]).into_owned();
             Some(Violation::WrongBody { id, body })
         }
@@ -244,7 +244,7 @@
             let time_ms = (request.deadline + RESPONSE_SLACK).as_millis() as u64;
             Some(Violation::NoAnswer { id, time_ms, attempts })
         }
-        Ending::Answered { .. } | Ending::Closed { .. } | Ending::ClosedByClient { .. } => None,
+        Ending::Responded { .. } | Ending::Closed { .. } | Ending::ClosedByClient { .. } => None,
     }
 }
 
--- a/crates/scale-bench/tests/common/command.rs
+++ b/crates/scale-bench/tests/common/command.rs
@@ -12,7 +12,7 @@
 }
 
 /// Asserts that a run failed and printed nothing but one line to standard error. Returns that line.
-pub fn assert_refused_in_one_line(output: &Output, arguments: &[&str]) -> String {
+pub fn assert_rejected_in_one_line(output: &Output, arguments: &[&str]) -> String {
     let line = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success(), "{arguments:?}: the run succeeded instead of failing, stderr: {line}");
     assert!(output.stdout.is_empty(), "{arguments:?}: the run printed to standard output, stderr: {line}");
--- a/crates/scale-bench/tests/decisions.rs
+++ b/crates/scale-bench/tests/decisions.rs
@@ -5,7 +5,7 @@
     pub mod command;
 }
 
-use common::command::{assert_refused_in_one_line, run, PROGRAM};
+use common::command::{assert_rejected_in_one_line, run, PROGRAM};
 use scale_bench::report::Report;
 
 /// Runs `decisions` for a short time with these arguments and returns its report.
@@ -71,7 +71,7 @@
         (&["--beside", "/nowhere/scale-bench"], "/nowhere/scale-bench"),
         (&["--limit-s", "0.1", "--rate", "5000", "--run-s", "600"], "--limit-s 0.1"),
     ] {
-        let line = assert_refused_in_one_line(&run("decisions", arguments), arguments);
+        let line = assert_rejected_in_one_line(&run("decisions", arguments), arguments);
         assert!(line.contains(part), "{arguments:?}: {line}");
     }
 }
--- a/crates/scale-bench/tests/node.rs
+++ b/crates/scale-bench/tests/node.rs
@@ -8,7 +8,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use common::command::{assert_refused_in_one_line, run, PROGRAM};
+use common::command::{assert_rejected_in_one_line, run, PROGRAM};
 use scale_bench::node::load::schedule::RequestSchedule;
 use scale_bench::node::Options;
 use scale_bench::report::Report;
@@ -27,16 +27,16 @@
     // 10,000.
     assert!((1170..1430).contains(&requests.len()), "expected 1170 to 1429 requests, got {}", requests.len());
     assert!(requests.windows(2).all(|pair| pair[0].due <= pair[1].due));
-    let under_quota = requests.iter().filter(|request| request.has_quota).count();
-    let share = under_quota as f64 / requests.len() as f64;
+    let with_quota = requests.iter().filter(|request| request.has_quota).count();
+    let share = with_quota as f64 / requests.len() as f64;
     assert!(
         (0.4..0.6).contains(&share),
-        "expected about half of the requests under a quota, got {under_quota}"
+        "expected about half of the requests under a quota, got {with_quota}"
     );
 }
 
 #[test]
-fn arguments_that_contradict_each_other_are_refused_in_one_line() {
+fn arguments_that_contradict_each_other_are_rejected_in_one_line() {
     for (arguments, part) in [
         (&["--me", "300"][..], "--me 300"),
         (&["--nodes", "1"], "--spread 2"),
@@ -45,7 +45,7 @@
         (&["--replace-at-s", "11"], "--replace-at-s 11"),
         (&["--agent-silent-s", "2..11"], "--agent-silent-s 11"),
     ] {
-        let line = assert_refused_in_one_line(&run("node", arguments), arguments);
+        let line = assert_rejected_in_one_line(&run("node", arguments), arguments);
         assert!(line.contains(part), "{arguments:?}: {line}");
     }
 }
@@ -59,13 +59,13 @@
         // This program runs on without reporting a listen address.
         (&["--program", "/usr/bin/yes", "--ready-limit-s", "0.2"], "reported no listen address"),
     ] {
-        let line = assert_refused_in_one_line(&run("node", arguments), arguments);
+        let line = assert_rejected_in_one_line(&run("node", arguments), arguments);
         assert!(line.contains(part), "{arguments:?}: {line}");
     }
 }
 
 #[test]
-fn arguments_out_of_bounds_are_refused_with_their_name_and_value() {
+fn arguments_out_of_bounds_are_rejected_with_their_name_and_value() {
     for arguments in [
         &["--rate", "0"],
         &["--rate", "NaN"],
@@ -74,7 +74,7 @@
         &["--name-length", "9"],
         &["--work-times", "none"],
     ] {
-        let line = assert_refused_in_one_line(&run("node", arguments), arguments);
+        let line = assert_rejected_in_one_line(&run("node", arguments), arguments);
         assert!(line.contains(arguments[0]), "{arguments:?}: {line}");
         assert!(line.contains(arguments[1]), "{arguments:?}: {line}");
     }
--- a/crates/scale-bench/tests/slopes.rs
+++ b/crates/scale-bench/tests/slopes.rs
@@ -6,7 +6,7 @@
 
 use std::process::Output;
 
-use common::command::{assert_refused_in_one_line, run};
+use common::command::{assert_rejected_in_one_line, run};
 use scale_bench::slopes::fit::{exponent, slope, NoExponent, Point};
 use scale_bench::slopes::{Ladder, Size};
 
@@ -146,7 +146,7 @@
         (&[], &["--servers=5"], "--servers=5"),
     ] {
         let output = ladder_of_decisions(arguments, run_arguments);
-        let line = assert_refused_in_one_line(&output, arguments);
+        let line = assert_rejected_in_one_line(&output, arguments);
         assert!(line.contains(part), "{arguments:?}: {line}");
     }
 }
--- a/crates/scale-bench/tests/soak.rs
+++ b/crates/scale-bench/tests/soak.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use common::command::{assert_refused_in_one_line, run};
+use common::command::{assert_rejected_in_one_line, run};
 use scale_bench::soak::{Behaviour, Ending, Plan, RequestLog, Violation};
 use tokio::time::Instant;
 
@@ -26,7 +26,7 @@
 
 /// Returns the ending of a request with status 200 and this body.
 fn served(body: &str) -> Ending {
-    Ending::Answered { status: 200, body: body.into() }
+    Ending::Responded { status: 200, body: body.into() }
 }
 
 #[test]
@@ -49,7 +49,7 @@
         request_log(false, &[Behaviour::Serve], served("r-1 127.1.0.1")),
         request_log(false, &[Behaviour::Reject, Behaviour::Serve], served("r-1 127.1.0.1")),
         request_log(true, &[Behaviour::Reset, Behaviour::Serve], served("r-1 127.1.0.1")),
-        request_log(false, &[Behaviour::Hang], Ending::Answered { status: 502, body: Vec::new() }),
+        request_log(false, &[Behaviour::Hang], Ending::Responded { status: 502, body: Vec::new() }),
         request_log(false, &[], Ending::Closed { may_be_unread: true }),
         request_log(false, &[Behaviour::Hang], Ending::ClosedByClient { at: Instant::now() }),
     ];
@@ -105,7 +105,7 @@
 fn invalid_seeds_are_rejected_in_one_line() {
     for seeds in ["5..2", "x", "1..", "1..2000"] {
         let arguments = ["--seeds", seeds];
-        let line = assert_refused_in_one_line(&run("soak", &arguments), &arguments);
+        let line = assert_rejected_in_one_line(&run("soak", &arguments), &arguments);
         assert!(line.contains("--seeds"), "{line}");
     }
 }
