--- a/crates/scale-bench/src/decisions.rs
+++ b/crates/scale-bench/src/decisions.rs
@@ -26,8 +26,8 @@
 /// Runs the measurement, or with `--beside` the comparison of two builds, and prints the figures.
 ///
 /// # Errors
-/// If an argument is out of bounds, a run takes longer than its time limit, a run of the comparison fails, or
-/// the figures can't be written.
+/// Returns an error if an argument is out of bounds, a run takes longer than its time limit, a run of the
+/// comparison fails, or the figures can't be written.
 pub fn run(options: Options) -> Result<(), BenchError> {
     options.check()?;
     let report = match &options.beside {
--- a/crates/scale-bench/src/decisions/comparison.rs
+++ b/crates/scale-bench/src/decisions/comparison.rs
@@ -25,7 +25,7 @@
 /// Runs all rounds and returns a report of medians and ratios.
 ///
 /// # Errors
-/// If the path of this program is unknown, or a run fails.
+/// Returns an error if the path of this program is unknown, or a run fails.
 pub fn compare(options: &Options, other_program: &Path) -> Result<Report, BenchError> {
     let this_program = std::env::current_exe()
         .map_err(|source| BenchError::System { operation: "cannot find this program", source })?;
--- a/crates/scale-bench/src/decisions/endpoint_list.rs
+++ b/crates/scale-bench/src/decisions/endpoint_list.rs
@@ -17,7 +17,7 @@
 /// Values from which an endpoint's weight is drawn.
 const WEIGHTS: [f64; 3] = [1.0, 1.0, 2.0];
 
-/// The endpoints in service, and the endpoint that is being replaced.
+/// The endpoint list: the endpoints in service, and the endpoint that is being replaced.
 pub struct EndpointList {
     entries: Vec<EndpointEntry>,
     used_ids: BTreeSet<u32>,
--- a/crates/scale-bench/src/decisions/measurement.rs
+++ b/crates/scale-bench/src/decisions/measurement.rs
@@ -10,7 +10,7 @@
 use crate::memory::Memory;
 use crate::report::Report;
 
-/// Number of list changes timed after the load has ended. Too few happen under load for a median.
+/// Number of list changes that are timed after the load, because too few happen under load for a median.
 const CHANGES_AFTER_LOAD: usize = 60;
 /// Simulated time after the last request within which everything in flight ends.
 const DRAIN_TIME: Micros = 2 * SECOND;
@@ -41,7 +41,7 @@
 /// Runs one measurement and returns its report.
 ///
 /// # Errors
-/// If the run takes longer than its time limit, or the memory of this process can't be read.
+/// Returns an error if the run takes longer than its time limit, or the memory of this process can't be read.
 pub fn measure(options: &Options) -> Result<Report, BenchError> {
     let before_model = resident_bytes()?;
     let mut model = Model::new(options);
@@ -112,12 +112,12 @@
 fn add_times(model: &Model, report: &mut Report) {
     for kind in EventKind::ALL {
         let times = model.timings().summary(kind);
-        let name = kind.figure_name();
-        report.add(&format!("{name}_count"), times.count as f64, "events");
+        let prefix = kind.figure_prefix();
+        report.add(&format!("{prefix}_count"), times.count as f64, "events");
         if times.count > 0 {
-            report.add(&format!("{name}_p50"), times.p50, "us");
-            report.add(&format!("{name}_p99"), times.p99, "us");
-            report.add(&format!("{name}_mean"), times.mean, "us");
+            report.add(&format!("{prefix}_p50"), times.p50, "us");
+            report.add(&format!("{prefix}_p99"), times.p99, "us");
+            report.add(&format!("{prefix}_mean"), times.mean, "us");
         }
     }
 }
--- a/crates/scale-bench/src/decisions/model.rs
+++ b/crates/scale-bench/src/decisions/model.rs
@@ -170,7 +170,7 @@
     /// Advances the simulated clock by `span` and processes all events that are due.
     ///
     /// # Errors
-    /// If the run has taken longer than its time limit, in real time.
+    /// Returns an error if the run has taken longer than its time limit, in real time.
     pub fn advance(&mut self, span: Micros) -> Result<(), BenchError> {
         let until = self.now + span;
         while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= until) {
@@ -343,7 +343,7 @@
             Action::ProbeEndpoint { endpoint } => {
                 self.schedule(COUNTER_AND_PROBE_DELAY, ModelEvent::ProbeCompletes(endpoint));
             }
-            // The run sends the whole list at the start and each change as it happens, without being asked.
+            // The model sends the whole list at the start and each change as it happens, without a request.
             Action::FetchEndpoints | Action::WatchEndpoints => {}
         }
     }
@@ -369,8 +369,8 @@
         self.schedule(response_time as Micros, end);
     }
 
-    /// Reports the attempt to the node as cancelled. Its response may still be in the queue; by the time that
-    /// it is reported, the node knows that the attempt has ended.
+    /// Reports the attempt to the node as cancelled. The attempt's response may still be in the event queue.
+    /// When that is reported later, the node already knows that the attempt has ended.
     fn cancel_attempt(&mut self, request: RequestId, number: u32) {
         let end = ModelEvent::AttemptEnds {
             request,
--- a/crates/scale-bench/src/decisions/options.rs
+++ b/crates/scale-bench/src/decisions/options.rs
@@ -8,10 +8,11 @@
 use crate::error::BenchError;
 use crate::report::Output;
 
-/// Arguments of `decisions`. The fields are named after the options of the command line.
+/// The arguments of `decisions`. Each field has the name of its command-line option. These names call
+/// endpoints `servers`, and accounts `customers`.
 #[derive(Args, Debug, Clone, Serialize)]
 pub struct Options {
-    /// Number of app servers on the endpoint list
+    /// Number of endpoints (app servers) in the endpoint list
     #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u32).range(1..=200_000))]
     pub servers: u32,
     /// Number of edge nodes in the fleet according to the node's settings
@@ -20,19 +21,19 @@
     /// Index of the measured node, from 0; drawn from the seed by default
     #[arg(long)]
     pub me: Option<u32>,
-    /// Seed from which the server ids, the requests and the response times are drawn
+    /// Seed from which the endpoints' ids, the requests and the response times are drawn
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     /// Mean number of requests per second
     #[arg(long, default_value_t = 130.0)]
     pub rate: f64,
-    /// Share of requests whose customer has a quota, from 0 to 1
+    /// Share of requests whose plan has a quota, from 0 to 1
     #[arg(long, default_value_t = 0.5)]
     pub quota_share: f64,
-    /// Number of customers with a quota; the same number of customers have none
+    /// Number of accounts (customers) with a quota; as many accounts without a quota send requests, too
     #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u32).range(1..=1_000_000))]
     pub customers: u32,
-    /// Mean response time of an app server, in ms
+    /// Mean response time of an endpoint, in milliseconds
     #[arg(long, default_value_t = 50.0)]
     pub answer_ms: f64,
     /// Mean number of endpoint list changes per second, of one entry each
@@ -44,7 +45,7 @@
     /// Duration of the timed load, in simulated seconds
     #[arg(long, default_value_t = 8.0)]
     pub run_s: f64,
-    /// Number of whole lists that are timed without a change, and again with all servers replaced
+    /// Number of timed whole lists in which nothing has changed, and of those that replace all endpoints
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u32).range(1..=1_000))]
     pub whole_lists: u32,
     /// Time limit of a run in real seconds; a run that takes longer fails
@@ -54,7 +55,7 @@
     /// figures
     #[arg(long, value_name = "PROGRAM")]
     pub beside: Option<PathBuf>,
-    /// Number of app servers in the runs of the other build; the same as for this build by default
+    /// Number of endpoints in the runs of the other build; the same as for this build by default
     #[arg(long, requires = "beside", value_parser = clap::value_parser!(u32).range(1..=200_000))]
     pub beside_servers: Option<u32>,
     /// Number of edge nodes in the runs of the other build; the same as for this build by default
@@ -63,7 +64,7 @@
     /// Number of rounds in which both builds are compared, each with a seed of its own
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u32).range(3..=100))]
     pub rounds: u32,
-    /// Where the figures are written.
+    /// The format and destination of the figures.
     #[command(flatten)]
     #[serde(skip)]
     pub output: Output,
@@ -73,7 +74,7 @@
     /// Checks the bounds that the command-line parser does not check.
     ///
     /// # Errors
-    /// If an argument is out of bounds.
+    /// Returns an error if an argument is out of bounds.
     pub fn check(&self) -> Result<(), BenchError> {
         check_bounds("rate", self.rate, 0.1, 100_000.0)?;
         check_bounds("quota-share", self.quota_share, 0.0, 1.0)?;
--- a/crates/scale-bench/src/decisions/timing.rs
+++ b/crates/scale-bench/src/decisions/timing.rs
@@ -44,7 +44,7 @@
     ];
 
     /// Returns the prefix of the names of this kind's figures.
-    pub fn figure_name(self) -> &'static str {
+    pub fn figure_prefix(self) -> &'static str {
         match self {
             EventKind::FirstList => "first_list",
             EventKind::Request => "request",
--- a/crates/scale-bench/src/earlier.rs
+++ b/crates/scale-bench/src/earlier.rs
@@ -1,8 +1,8 @@
-//! The command line of `scale-bench-earlier`, with the subcommands `decisions` and `slopes` only.
+//! The command line of `scale-bench-earlier`, which has the subcommands `decisions` and `slopes` only.
 //!
-//! `earlier/Cargo.toml` builds this program over an earlier revision of the edge node.
+//! `earlier/Cargo.toml` builds this program against an earlier revision of the edge node.
 #![forbid(unsafe_code)]
-#![allow(dead_code, unused_imports, reason = "only the other subcommands use some items of shared files")]
+#![allow(dead_code, unused_imports, reason = "the shared files have items that only other subcommands use")]
 
 mod decisions;
 mod error;
@@ -16,13 +16,13 @@
 
 const PROGRAM: &str = "scale-bench-earlier";
 
-/// Measures the time and memory that the decision module of this revision takes by itself
+/// Measures the time and memory that the decision engine of one revision of the edge node takes.
 #[derive(Parser)]
 #[command(version)]
 enum Cli {
-    /// Measure the decision module alone: its time for a request, a timer tick and an endpoint list
+    /// Measure the decision engine alone: its memory, and its time for requests, timers and endpoint lists
     Decisions(decisions::Options),
-    /// Run a subcommand at several fleet sizes and print how each figure grows with the size
+    /// Run another subcommand at several fleet sizes and compute how each figure grows with the size
     Slopes(slopes::Options),
 }
 
--- a/crates/scale-bench/src/error.rs
+++ b/crates/scale-bench/src/error.rs
@@ -1,4 +1,4 @@
-//! The errors of a run, and how the program reports them.
+//! The errors of the program, and how it reports them.
 
 use std::process::ExitCode;
 
@@ -13,8 +13,8 @@
     /// An argument parses, but its value can't be used, or a run with these arguments has failed.
     #[error("{0}")]
     Argument(String),
-    /// The run of an edge node failed: the node could not be started, has exited by itself or has broken a rule
-    /// of the soak, or the run was interrupted or exceeded its time limit.
+    /// The run of an edge node failed: the node could not be started, has exited by itself or has broken a
+    /// rule of the soak, or the run was interrupted or exceeded its time limit.
     #[error("the edge node: {0}")]
     EdgeNode(String),
     /// A file could not be read or written.
--- a/crates/scale-bench/src/fakes.rs
+++ b/crates/scale-bench/src/fakes.rs
@@ -1,4 +1,5 @@
-//! Fakes of an edge node's peers: the discovery agent, the counter service and the endpoints (app servers).
+//! Fakes of the peers of an edge node: the discovery agent, the counter service and the endpoints (app
+//! servers).
 //!
 //! Each fake speaks the protocol of the peer that it replaces.
 
--- a/crates/scale-bench/src/fakes/counter_service.rs
+++ b/crates/scale-bench/src/fakes/counter_service.rs
@@ -28,9 +28,9 @@
 const MAX_CONNECTIONS: usize = 32;
 /// Limit on the unwritten replies of a connection; at the limit, no further calls are read from it.
 const MAX_PENDING_REPLIES: usize = 10_000;
-/// Size of a burst of calls, as the time in seconds in which the capacity admits that many.
+/// Length of a burst: as many calls are accepted at once as the capacity allows in this many seconds.
 const BURST_SECONDS: f64 = 0.1;
-/// Expired counters are removed only if there are at least this many counters.
+/// Expired counters are not removed while there are fewer counters than this.
 const MIN_SWEEP_THRESHOLD: usize = 10_000;
 
 /// The rate and the delay at which the service replies.
@@ -38,11 +38,11 @@
 pub struct CounterCapacity {
     /// `INCRTTL` calls that the service accepts per second; it rejects further ones with `-BUSY`.
     pub calls_per_second: f64,
-    /// Time from the arrival of an `INCRTTL` call to its reply; other commands are answered at once.
+    /// Time from the arrival of an `INCRTTL` call to its reply; replies to other commands are sent at once.
     pub delay: Duration,
 }
 
-/// How the service responds to its clients.
+/// How the service handles calls and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CounterMode {
     /// The service replies to every call.
@@ -73,7 +73,7 @@
     by_name: HashMap<Vec<u8>, Counter>,
     /// Expired counters are removed once there are this many counters.
     sweep_threshold: usize,
-    /// Calls that may come at once, as of `refilled_at`.
+    /// Number of calls that would be accepted at once, as of `refilled_at`.
     tokens: f64,
     refilled_at: Instant,
 }
@@ -100,7 +100,7 @@
     /// Starts a service on a free port of 127.0.0.1. It runs until the runtime ends.
     ///
     /// # Errors
-    /// If the service can't listen on the port.
+    /// Returns an error if the service can't listen on the port.
     pub async fn start(capacity: CounterCapacity) -> io::Result<Arc<Self>> {
         let listener = listen_on_loopback().await?;
         let service = Arc::new(CounterService {
@@ -137,7 +137,7 @@
         self.set_mode(if silent { CounterMode::Silent } else { CounterMode::Serving });
     }
 
-    /// Sets how the service responds to its clients from now on.
+    /// Sets how the service handles calls and connections from now on.
     pub fn set_mode(&self, mode: CounterMode) {
         self.mode.send_replace(mode);
     }
@@ -249,7 +249,7 @@
 }
 
 impl CounterCapacity {
-    /// Returns the number of calls that may come at once, at least 1.
+    /// Returns the number of calls that are accepted at once, at least 1.
     fn burst(&self) -> f64 {
         (self.calls_per_second * BURST_SECONDS).max(1.0)
     }
--- a/crates/scale-bench/src/fakes/discovery_agent.rs
+++ b/crates/scale-bench/src/fakes/discovery_agent.rs
@@ -88,7 +88,7 @@
     /// If `indented` is set, the agent sends its JSON with line breaks and indentation.
     ///
     /// # Errors
-    /// If the agent can't listen on the port.
+    /// Returns an error if the agent can't listen on the port.
     pub async fn start(list: EndpointList, indented: bool) -> io::Result<Arc<Self>> {
         let listener = listen_on_loopback().await?;
         let agent = Arc::new(DiscoveryAgent {
@@ -145,7 +145,7 @@
     /// Returns the JSON text of the current snapshot, from the cache if it holds this version.
     ///
     /// # Errors
-    /// If the snapshot can't be encoded as JSON.
+    /// Returns an error if the snapshot can't be encoded as JSON.
     pub fn snapshot_text(&self) -> serde_json::Result<Bytes> {
         let list = lock(&self.list);
         let mut cached = lock(&self.snapshot_text);
--- a/crates/scale-bench/src/fakes/endpoints.rs
+++ b/crates/scale-bench/src/fakes/endpoints.rs
@@ -1,6 +1,7 @@
 //! Fakes of any number of endpoints (app servers).
 //!
-//! One listener accepts the connections to all loopback addresses, one of which each endpoint has.
+//! Each endpoint has a loopback address of its own. One listener accepts the connections to all these
+//! addresses.
 
 use std::collections::HashSet;
 use std::convert::Infallible;
@@ -76,7 +77,7 @@
 #[derive(Default)]
 struct RequestRecord {
     attempts: AtomicU32,
-    /// Service time of the latest attempt that was answered, in microseconds; 0 before the first one.
+    /// Service time of the latest attempt that got a response, in microseconds; 0 before the first response.
     service_time_us: AtomicU64,
 }
 
@@ -113,7 +114,7 @@
     /// The endpoints serve requests numbered below `request_count`, and run until the runtime ends.
     ///
     /// # Errors
-    /// If the listener can't be bound to the loopback device only.
+    /// Returns an error if the listener can't be bound to the loopback device only.
     pub fn start(work: WorkModel, request_count: u32) -> io::Result<Arc<Self>> {
         let listener = listen_on_all_loopback_addresses()?;
         let endpoints = Arc::new(Endpoints {
@@ -148,7 +149,7 @@
 
     /// Returns how long an endpoint took for the request, from the arrival of its last byte to its response.
     ///
-    /// If several attempts were answered, returns the time of the latest one; if none was, returns zero.
+    /// If several attempts got a response, returns the time of the latest one; if none did, returns zero.
     pub fn service_time(&self, number: u32) -> Duration {
         let record = self.requests.get(number as usize);
         Duration::from_micros(record.map_or(0, |record| record.service_time_us.load(Ordering::Relaxed)))
--- a/crates/scale-bench/src/fakes/listener.rs
+++ b/crates/scale-bench/src/fakes/listener.rs
@@ -15,7 +15,7 @@
 /// Listens on a free port of 127.0.0.1.
 ///
 /// # Errors
-/// If no port can be bound.
+/// Returns an error if no port can be bound.
 pub async fn listen_on_loopback() -> io::Result<TcpListener> {
     TcpListener::bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).await
 }
@@ -23,7 +23,7 @@
 /// Listens on a free port of all addresses of this machine, for connections over the loopback device only.
 ///
 /// # Errors
-/// If the socket can't be bound to the loopback device or to a port.
+/// Returns an error if the socket can't be bound to the loopback device or to a port.
 pub fn listen_on_all_loopback_addresses() -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     // Without this binding, other machines could reach the listener.
--- a/crates/scale-bench/src/fakes/resp.rs
+++ b/crates/scale-bench/src/fakes/resp.rs
@@ -15,7 +15,8 @@
 /// Reads one call and returns its words. Returns `None` if the connection ends before the next call.
 ///
 /// # Errors
-/// If reading fails, the connection ends within a call, or the bytes are not a call within the limits above.
+/// Returns an error if reading fails, the connection ends within a call, or the bytes are not a call within
+/// the limits above.
 pub async fn read_call(reader: &mut (impl AsyncBufRead + Unpin)) -> io::Result<Option<Vec<Vec<u8>>>> {
     let Some(count) = read_header(reader, b'*', MAX_WORDS).await? else { return Ok(None) };
     let mut words = Vec::with_capacity(count);
@@ -39,7 +40,8 @@
 /// Reads a header line such as `*4` and returns its number, or `None` if the connection has ended.
 ///
 /// # Errors
-/// If reading fails, the line does not start with `type_byte`, or its number is above `max` or malformed.
+/// Returns an error if reading fails, the line does not start with `type_byte`, or its number is above `max`
+/// or malformed.
 async fn read_header(
     reader: &mut (impl AsyncBufRead + Unpin),
     type_byte: u8,
--- a/crates/scale-bench/src/fleet.rs
+++ b/crates/scale-bench/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The `fleet` command: simulates a fleet of hollow nodes, their endpoints and one counter service on one
+//! The subcommand `fleet`: simulates a fleet of hollow nodes, its endpoints and one counter service on one
 //! clock.
 //!
 //! Each hollow node runs a real decision engine with real settings. The socket work of its process is
--- a/crates/scale-bench/src/fleet/accounts.rs
+++ b/crates/scale-bench/src/fleet/accounts.rs
@@ -1,4 +1,4 @@
-//! Draws the accounts: their request rates, their plans, and the request classes.
+//! Draws the accounts with their request rates and plans, and defines the request classes.
 //!
 //! Each account has exact token buckets that are charged for its requests at all nodes. The buckets determine
 //! which requests are within the quota. Nodes have no access to them.
@@ -143,7 +143,7 @@
     has_quota: bool,
 }
 
-/// Factors that convert relative rates to requests/s.
+/// Factors that convert the relative rates of accounts with and without a quota to requests/s.
 struct RateScale {
     with_quota: f64,
     unlimited: f64,
--- a/crates/scale-bench/src/fleet/counter.rs
+++ b/crates/scale-bench/src/fleet/counter.rs
@@ -7,10 +7,10 @@
 
 /// The longest time for which the service keeps a counter, whatever the call asks for.
 const MAX_KEEP_FOR: Micros = 60_000_000;
-/// Least time between two removals of expired counters.
+/// Minimum time between two removals of expired counters.
 const SWEEP_INTERVAL: Micros = 10_000_000;
 
-/// How the counter service responds to calls.
+/// How the counter service handles calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CounterMode {
     /// It serves them.
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Sets how the service responds to calls from now on.
+    /// Sets how the service handles calls from now on.
     pub fn set_mode(&mut self, mode: CounterMode) {
         self.mode = mode;
     }
--- a/crates/scale-bench/src/fleet/endpoint.rs
+++ b/crates/scale-bench/src/fleet/endpoint.rs
@@ -26,9 +26,9 @@
 pub struct EndpointModel {
     /// Number of cores of an endpoint.
     pub cores: f64,
-    /// Most requests that an endpoint runs at once.
+    /// Maximum number of requests that an endpoint runs at once.
     pub worker_slots: usize,
-    /// Most requests that wait in an endpoint's queue.
+    /// Maximum number of requests that wait in an endpoint's queue.
     pub queue_length: usize,
     /// Mean work of a request, in microseconds of one core, without the work of a handshake.
     pub mean_work: f64,
--- a/crates/scale-bench/src/fleet/failure.rs
+++ b/crates/scale-bench/src/fleet/failure.rs
@@ -1,5 +1,5 @@
-//! Turns a named failure into timed steps, and each step into effects on nodes, endpoints, the network and
-//! the counter service.
+//! Turns the failure of a run into timed steps, and each step into effects on nodes, endpoints, the network
+//! and the counter service.
 //!
 //! A [`FailurePlan`] only decides which effects a step has. The simulated world applies them.
 
@@ -14,7 +14,7 @@
 use super::scenario::Scenario;
 
 /// Time for which an endpoint that a release replaces drains before its process ends.
-const DRAIN_TIME: Micros = 2_000_000;
+const ENDPOINT_DRAIN_TIME: Micros = 2_000_000;
 /// The failure `restart-tenth` restarts one node in this many.
 const RESTARTED_NODE_DIVISOR: usize = 10;
 
@@ -60,7 +60,7 @@
     ReplaceEndpoint(EndpointIndex),
     /// This region is cut off from all others. `None` reconnects the region that was cut off.
     IsolateRegion(Option<u32>),
-    /// The counter service changes how it responds to calls.
+    /// The counter service changes how it handles calls.
     SetCounterMode(CounterMode),
 }
 
@@ -207,7 +207,7 @@
             let offset = self.duration * Micros::from(group) / Micros::from(self.release_steps);
             let at = self.starts_at + offset;
             steps.push(ScheduledStep { at, step: FailureStep::Drain(group) });
-            steps.push(ScheduledStep { at: at + DRAIN_TIME, step: FailureStep::Replace(group) });
+            steps.push(ScheduledStep { at: at + ENDPOINT_DRAIN_TIME, step: FailureStep::Replace(group) });
         }
         steps
     }
--- a/crates/scale-bench/src/fleet/figures.rs
+++ b/crates/scale-bench/src/fleet/figures.rs
@@ -110,8 +110,8 @@
     add_summary("servers_per_node", &world.endpoints_used_by_node(), "servers met", report);
     add_summary("servers_known_per_node", &world.endpoints_known_by_node(), "servers", report);
     if world.scenario.fail != FailureKind::Calm {
-        let note = "nodes_per_server and servers_per_node are counted from the failure's begin on (of a release: from \
-                    the end of the warm-up on)";
+        let note = "nodes_per_server and servers_per_node are counted from the failure's begin on (of a \
+                    release: from the end of the warm-up on)";
         report.notes.push(note.into());
     }
 }
@@ -143,9 +143,10 @@
     report.add("well_again_after", recovered_after as f64, "s");
     report.add("well_again", recovered, "1: yes, 0: not within the run");
     report.notes.push(format!(
-        "well_again_after: whole seconds from the failure's begin to the end of the last second, by when requests \
-         were first asked, in which the share served of the units asked inside quotas was more than {RECOVERY_TOLERANCE} under \
-         the mean of the seconds before; one second of {:.0} requests swings by chance, too",
+        "well_again_after: whole seconds from the failure's begin to the end of the last second, by when \
+         requests were first asked, in which the share served of the units asked inside quotas was more \
+         than {RECOVERY_TOLERANCE} under the mean of the seconds before; one second of {:.0} requests \
+         swings by chance, too",
         world.measurements.requests / service.len().max(1) as f64,
     ));
 }
--- a/crates/scale-bench/src/fleet/measurements.rs
+++ b/crates/scale-bench/src/fleet/measurements.rs
@@ -42,7 +42,7 @@
     pub rejected: f64,
     /// Requests that failed, including those for which no node was available.
     pub failed: f64,
-    /// Requests that were never answered.
+    /// Requests that never got a response.
     pub lost: f64,
 }
 
@@ -77,7 +77,7 @@
     pub rejected_within_quota: f64,
     /// Requests that were served within the latency objective of their class.
     pub on_time: f64,
-    /// Tries that were sent to a node and never answered.
+    /// Tries that were sent to a node and never got a response.
     pub lost_tries: f64,
     /// Requests for whose first try the front had no available node.
     pub without_node: f64,
--- a/crates/scale-bench/src/fleet/request.rs
+++ b/crates/scale-bench/src/fleet/request.rs
@@ -15,7 +15,7 @@
     Rejected,
     /// It failed, or no node was available for it.
     Failed,
-    /// It was sent to a node and never answered.
+    /// It was sent to a node and never got a response.
     Lost,
 }
 
--- a/crates/scale-bench/src/fleet/scenario.rs
+++ b/crates/scale-bench/src/fleet/scenario.rs
@@ -10,8 +10,8 @@
 
 /// Time at which the simulated clock starts. It is far from 0, because some fields use 0 for "long ago".
 pub const CLOCK_START: Micros = 1_000_000_000;
-/// Least time between the end of the warm-up and a failure, in milliseconds. Service after the failure is
-/// compared with the service before it.
+/// Minimum time between the end of the warm-up and a failure, in milliseconds. It is needed because the
+/// service after the failure is compared with the service before it.
 const MIN_TIME_BEFORE_FAILURE_MS: u64 = 1_000;
 /// Upper estimate of the memory for one endpoint at one node, in bytes. This and the other estimates only
 /// serve to reject runs that can't fit into memory.
@@ -24,17 +24,17 @@
 /// The arguments of a run: the nodes, accounts, endpoints, counter service, network and endpoint list to
 /// simulate, and the failure.
 ///
-/// The fields have the names of the command-line options and of the JSON members. These names call accounts
-/// `customers` and endpoints `servers`.
+/// Each field has the name of its command-line option and of its JSON member. These names call endpoints
+/// `servers`, and accounts `customers`.
 #[derive(Args, Debug, Clone, Serialize)]
 pub struct Scenario {
     /// Number of hollow nodes
     #[arg(long, default_value_t = 100, value_parser = clap::value_parser!(u32).range(1..=20_000))]
     pub nodes: u32,
-    /// Number of app servers
+    /// Number of endpoints (app servers)
     #[arg(long, default_value_t = 800, value_parser = clap::value_parser!(u32).range(1..=100_000))]
     pub servers: u32,
-    /// Requests/s over all nodes, without clients' retries [default: 130 for each node]
+    /// Requests per second over all nodes, without clients' retries [default: 130 for each node]
     #[arg(long, value_name = "PER_S", value_parser = positive)]
     pub rate: Option<f64>,
     /// Seed of all random draws
@@ -43,127 +43,130 @@
     /// The failure to simulate
     #[arg(long, value_enum, default_value_t = FailureKind::Calm)]
     pub fail: FailureKind,
-    /// Time from the end of the warm-up to the start of the failure (ms)
+    /// Milliseconds from the end of the warm-up to the start of the failure
     #[arg(long, default_value_t = 6_000, value_name = "MS", value_parser = clap::value_parser!(u64).range(0..=3_600_000))]
     pub fail_at_ms: u64,
-    /// Duration of the failure (ms); for a release, the time over which its steps are spread
+    /// Duration of the failure, in milliseconds; for a release, the time over which its steps are spread
     #[arg(long, default_value_t = 6_000, value_name = "MS", value_parser = clap::value_parser!(u64).range(1..=3_600_000))]
     pub fail_for_ms: u64,
-    /// Simulated warm-up time before the measured time (ms)
+    /// Simulated warm-up time before the measured time, in milliseconds
     #[arg(long, default_value_t = 6_000, value_name = "MS", value_parser = clap::value_parser!(u64).range(1_000..=3_600_000))]
     pub warm_ms: u64,
-    /// Simulated time that is measured (ms)
+    /// Simulated time that is measured, in milliseconds
     #[arg(long, default_value_t = 30_000, value_name = "MS", value_parser = clap::value_parser!(u64).range(1_000..=3_600_000))]
     pub measured_ms: u64,
 
-    /// Number of customers per node
+    /// Number of accounts (customers) per node
     #[arg(long, default_value_t = 95.0, value_name = "COUNT", value_parser = positive)]
     pub customers_per_node: f64,
-    /// Share of the requests that customers with a quota send
+    /// Share of the requests that accounts with a quota send
     #[arg(long, default_value_t = 0.5, value_name = "SHARE", value_parser = share)]
     pub quota_share: f64,
-    /// Number of nodes that receive a customer's requests
+    /// Number of nodes that receive an account's requests
     #[arg(long, default_value_t = 2, value_name = "NODES", value_parser = clap::value_parser!(u32).range(1..=1_000))]
     pub spread: u32,
-    /// Most tries that a client makes for one request
+    /// Maximum number of tries that a client makes for one request
     #[arg(long, default_value_t = 3, value_name = "TRIES", value_parser = clap::value_parser!(u32).range(1..=20))]
     pub client_tries: u32,
-    /// Time until the front notices that a node is unresponsive (ms); it notices at once that a node's
+    /// Milliseconds until the front notices that a node is unresponsive; it notices at once that a node's
     /// process has ended
     #[arg(long, default_value_t = 2_000, value_name = "MS", value_parser = clap::value_parser!(u64).range(0..=60_000))]
     pub front_notice_ms: u64,
 
-    /// Number of cores of a server
+    /// Number of cores of an endpoint
     #[arg(long, default_value_t = 2.0, value_name = "CORES", value_parser = positive)]
     pub cores: f64,
-    /// Most requests that a server runs at once
+    /// Maximum number of requests that an endpoint runs at once
     #[arg(long, default_value_t = 16, value_name = "REQUESTS", value_parser = clap::value_parser!(u32).range(1..=10_000))]
     pub slots: u32,
-    /// Most requests that wait in a server's queue; it rejects further requests
+    /// Maximum number of requests that wait in an endpoint's queue; it rejects further requests
     #[arg(long, default_value_t = 32, value_name = "REQUESTS", value_parser = clap::value_parser!(u32).range(0..=100_000))]
     pub queue: u32,
-    /// Mean work of a request (ms of one core)
+    /// Mean work of a request, in milliseconds of one core
     #[arg(long, default_value_t = 60.0, value_name = "MS", value_parser = positive)]
     pub work_ms: f64,
     /// Share of the work that is drawn from an exponential distribution; the rest is the same for each
     /// request
     #[arg(long, default_value_t = 1.0, value_name = "SHARE", value_parser = share)]
     pub work_spread: f64,
-    /// Work of a server for each new connection (us of one core)
+    /// Work of an endpoint for each new connection, in microseconds of one core
     #[arg(long, default_value_t = 2_000, value_name = "US", value_parser = clap::value_parser!(u64).range(0..=1_000_000))]
     pub handshake_us: u64,
-    /// Time after which an idle connection is closed (ms)
+    /// Milliseconds after which an idle connection is closed
     #[arg(long, default_value_t = 30_000, value_name = "MS", value_parser = clap::value_parser!(u64).range(1..=3_600_000))]
     pub idle_close_ms: u64,
-    /// Longest time to establish a connection (ms)
+    /// Longest time to establish a connection, in milliseconds
     #[arg(long, default_value_t = 250, value_name = "MS", value_parser = clap::value_parser!(u64).range(1..=10_000))]
     pub connect_ms: u64,
-    /// Share of its full capacity that a server has right after its start
+    /// Share of its full capacity that an endpoint has right after its start
     #[arg(long, default_value_t = 0.2, value_name = "SHARE", value_parser = share)]
     pub cold_from: f64,
-    /// Time that a server takes to warm up after its start (ms)
+    /// Milliseconds that an endpoint takes to warm up after its start
     #[arg(long, default_value_t = 15_000, value_name = "MS", value_parser = clap::value_parser!(u64).range(0..=600_000))]
     pub cold_ms: u64,
-    /// A server that is warming up fails if it is sent more than this many times its current capacity
+    /// An endpoint that is warming up fails if it is sent more than this many times its current capacity
     #[arg(long, default_value_t = 2.5, value_name = "TIMES", value_parser = positive)]
     pub fall_multiple: f64,
-    /// Time over which the load of --fall-multiple is measured (ms)
+    /// Time over which the load of --fall-multiple is measured, in milliseconds
     #[arg(long, default_value_t = 1_500, value_name = "MS", value_parser = clap::value_parser!(u64).range(1..=60_000))]
     pub tip_after_ms: u64,
 
-    /// Calls/s that the counter service can serve, over all its parts [default: two for each request]
+    /// Calls per second that the counter service can serve, over all its parts [default: two for each
+    /// request]
     #[arg(long, value_name = "PER_S", value_parser = positive)]
     pub counter_calls_per_s: Option<f64>,
     /// Number of parts of the counter service; each counter belongs to one part
     #[arg(long, default_value_t = 1, value_name = "PARTS", value_parser = clap::value_parser!(u32).range(1..=10_000))]
     pub counter_parts: u32,
-    /// Most calls that wait at a part; it rejects further calls with -BUSY
+    /// Maximum number of calls that wait at a part; it rejects further calls with -BUSY
     #[arg(long, default_value_t = 1_000, value_name = "CALLS", value_parser = clap::value_parser!(u32).range(0..=1_000_000))]
     pub counter_queue: u32,
-    /// One-way delay between any node and the counter service (us)
+    /// One-way delay between any node and the counter service, in microseconds
     #[arg(long, default_value_t = 500, value_name = "US", value_parser = clap::value_parser!(u64).range(0..=1_000_000))]
     pub counter_delay_us: u64,
 
     /// Number of regions
     #[arg(long, default_value_t = 6, value_name = "REGIONS", value_parser = clap::value_parser!(u32).range(1..=1_000))]
     pub regions: u32,
-    /// Number of zones; zones are assigned to the regions in turn, nodes to the zones in turn, and servers to
-    /// the zones in proportion to the nodes
+    /// Number of zones; zones are assigned to the regions in turn, nodes to the zones in turn, and endpoints
+    /// to the zones in proportion to the nodes
     #[arg(long, default_value_t = 19, value_name = "ZONES", value_parser = clap::value_parser!(u32).range(1..=1_000))]
     pub zones: u32,
-    /// One-way delay within a zone (us)
+    /// One-way delay within a zone, in microseconds
     #[arg(long, default_value_t = 150, value_name = "US", value_parser = clap::value_parser!(u64).range(0..=1_000_000))]
     pub delay_zone_us: u64,
-    /// One-way delay between zones of one region (us)
+    /// One-way delay between zones of one region, in microseconds
     #[arg(long, default_value_t = 500, value_name = "US", value_parser = clap::value_parser!(u64).range(0..=1_000_000))]
     pub delay_region_us: u64,
-    /// One-way delay between regions (us)
+    /// One-way delay between regions, in microseconds
     #[arg(long, default_value_t = 20_000, value_name = "US", value_parser = clap::value_parser!(u64).range(0..=1_000_000))]
     pub delay_far_us: u64,
     /// Cost of an attempt that crosses zones, relative to a first attempt, as set in the nodes' settings
     #[arg(long, default_value_t = 0.0, value_name = "PRICE", value_parser = non_negative)]
     pub cross_zone_price: f64,
 
-    /// Mean delay until a change of the endpoint list reaches a node (ms); drawn for each change and node
+    /// Mean delay until a change of the endpoint list reaches a node, in milliseconds; drawn for each change
+    /// and node
     #[arg(long, default_value_t = 500, value_name = "MS", value_parser = clap::value_parser!(u64).range(0..=600_000))]
     pub list_delay_ms: u64,
-    /// Longest delay that is drawn for a change of the endpoint list (ms)
+    /// Longest delay that is drawn for a change of the endpoint list, in milliseconds
     #[arg(long, default_value_t = 4_000, value_name = "MS", value_parser = clap::value_parser!(u64).range(0..=600_000))]
     pub list_delay_most_ms: u64,
-    /// Time until discovery detects that a server has failed (ms)
+    /// Milliseconds until discovery detects that an endpoint has failed
     #[arg(long, default_value_t = 3_000, value_name = "MS", value_parser = clap::value_parser!(u64).range(0..=600_000))]
     pub detect_ms: u64,
-    /// Share of stale entries in a restarted node's endpoint list; each names a server that is gone in place
-    /// of a current one
+    /// Share of stale entries in a restarted node's endpoint list; each replaces the entry of a current
+    /// endpoint by that of one that no longer exists
     #[arg(long, default_value_t = 0.05, value_name = "SHARE", value_parser = share)]
     pub old_list_share: f64,
-    /// Mean time that a node takes to start again (ms); drawn evenly from 0.5 to 1.5 times this value
+    /// Mean time that a node takes to start again, in milliseconds; drawn evenly from 0.5 to 1.5 times this
+    /// value
     #[arg(long, default_value_t = 1_000, value_name = "MS", value_parser = clap::value_parser!(u64).range(1..=600_000))]
     pub boot_ms: u64,
-    /// Share of the servers that are in the failing rack
+    /// Share of the endpoints that are in the failing rack
     #[arg(long, default_value_t = 0.02, value_name = "SHARE", value_parser = share)]
     pub rack_share: f64,
-    /// Share of the servers that a release replaces
+    /// Share of the endpoints that a release replaces
     #[arg(long, default_value_t = 0.5, value_name = "SHARE", value_parser = share)]
     pub release_share: f64,
     /// Number of steps of a release
@@ -173,13 +176,13 @@
     /// Number of nodes of the whole fleet; the notes state which share of it the run simulates
     #[arg(long, default_value_t = 5_700, value_name = "NODES", value_parser = clap::value_parser!(u32).range(1..))]
     pub whole_nodes: u32,
-    /// Number of app servers of the whole fleet
+    /// Number of endpoints of the whole fleet
     #[arg(long, default_value_t = 46_000, value_name = "SERVERS", value_parser = clap::value_parser!(u32).range(1..))]
     pub whole_servers: u32,
-    /// Requests/s of the whole fleet
+    /// Requests per second of the whole fleet
     #[arg(long, default_value_t = 740_000.0, value_name = "PER_S", value_parser = positive)]
     pub whole_rate: f64,
-    /// Memory limit (MB); a run that is estimated to need more is rejected
+    /// Memory limit, in megabytes; a run that is estimated to need more is rejected
     #[arg(long, default_value_t = 4_000, value_name = "MB", value_parser = clap::value_parser!(u32).range(16..=12_000))]
     pub memory_most_mb: u32,
     /// Omit the memory and wall-time figures, so that equal arguments yield identical JSON
--- a/crates/scale-bench/src/fleet/world/attempts.rs
+++ b/crates/scale-bench/src/fleet/world/attempts.rs
@@ -19,8 +19,8 @@
     /// deadline is reached. A `timeout` of 0 means only the latter.
     ///
     /// Returns the attempt's end if it can't be sent: the endpoint does not exist, the try has its result or
-    /// no time left, or it has made its most attempts. Returns `None` if the attempt is sent or the try is
-    /// over.
+    /// no time left, or it has made its maximum number of attempts. Returns `None` if the attempt is sent or
+    /// the try is over.
     pub(super) fn start_attempt(
         &mut self,
         node: NodeIndex,
@@ -181,7 +181,7 @@
         self.settings.limits.connect_timeout.min((time_left / 4).max(MIN_CONNECT_TIMEOUT))
     }
 
-    /// Returns whether an endpoint does not reply to a node: it is unresponsive, or the network does not
+    /// Returns whether an endpoint does not respond to a node: it is unresponsive, or the network does not
     /// connect them.
     fn is_unresponsive(&self, node: NodeIndex, endpoint: EndpointIndex) -> bool {
         self.endpoints[endpoint].state == ProcessState::Unresponsive || !self.reachable(node, endpoint)
--- a/crates/scale-bench/src/fleet/world/failures.rs
+++ b/crates/scale-bench/src/fleet/world/failures.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Ends the process of a node that is up. The tries that it had accepted and not answered are lost.
+    /// Ends the process of a node that is up. The tries to which it has not responded are lost.
     fn end_node(&mut self, node: NodeIndex, state: NodeState) {
         if !self.nodes[node].is_up() {
             return;
--- a/crates/scale-bench/src/fleet/world/front.rs
+++ b/crates/scale-bench/src/fleet/world/front.rs
@@ -10,12 +10,13 @@
 use crate::fleet::random::{pick_by_share, poisson_gap};
 use crate::fleet::request::{request_id, ClientRequest, FinalResult, PendingTry};
 
-/// A node fails a try that is unanswered this long before the client's deadline, as a real node does.
+/// A node fails a try to which it has not responded this long before the client's deadline, as a real node
+/// does.
 const RESPONSE_MARGIN: Micros = 15_000;
 /// Base of a client's back-off after a failure or after a rejection without `Retry-After`. The back-off
 /// doubles with each try. The client waits for a time drawn from half of the back-off to all of it.
 const RETRY_BACKOFF: Micros = 100_000;
-/// Most doublings of the back-off.
+/// Maximum number of doublings of the back-off.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
 impl World {
@@ -121,8 +122,8 @@
         self.remove_if_over(number);
     }
 
-    /// Fails a try that its node has not answered [`RESPONSE_MARGIN`] before the client's deadline, and tells
-    /// the node's engine that the client no longer waits.
+    /// Fails a try to which its node has not responded [`RESPONSE_MARGIN`] before the client's deadline, and
+    /// notifies the node's engine that the client no longer waits.
     pub(super) fn response_deadline_passed(&mut self, number: u64) {
         let Some(pending) = self.pending_tries.get(&number) else { return };
         if pending.completed || pending.abandoned {
--- a/crates/scale-bench/src/fleet/world/node_actions.rs
+++ b/crates/scale-bench/src/fleet/world/node_actions.rs
@@ -10,7 +10,7 @@
 use crate::fleet::node::{NodeIndex, NodeProcess};
 use crate::fleet::request::{request_number, FinalResult};
 
-/// Time that the discovery agent, which runs on the node's machine, takes to reply.
+/// Time that the discovery agent, which runs on the node's machine, takes to respond.
 const AGENT_DELAY: Micros = 1_000;
 /// Time from the start of a probe to its end.
 const PROBE_DURATION: Micros = 250_000;
--- a/crates/scale-bench/src/fleet/world/upstream.rs
+++ b/crates/scale-bench/src/fleet/world/upstream.rs
@@ -54,7 +54,7 @@
         self.schedule_wake_up(index);
     }
 
-    /// Makes an endpoint unresponsive. The requests that it held are never answered, so the nodes' time
+    /// Makes an endpoint unresponsive. The requests that it held never get a response, so the nodes' time
     /// limits end their attempts.
     pub(super) fn hang_endpoint(&mut self, index: EndpointIndex) {
         self.endpoints[index].end(ProcessState::Unresponsive);
--- a/crates/scale-bench/src/lib.rs
+++ b/crates/scale-bench/src/lib.rs
@@ -1,12 +1,19 @@
 //! Measures how the edge node's cost, memory, traffic and service grow with the fleet.
 //!
-//! - [`node`]: runs one real edge node process against fakes of all its peers.
-//! - [`fakes`]: implements these peers: the discovery agent, the counter service and the endpoints.
-//! - [`fleet`]: runs many decision engines on one simulated clock, against simulated endpoints (app servers)
-//!   and one simulated counter service.
-//! - [`decisions`]: measures one decision engine alone: its time for a request, a timer and an endpoint list.
-//! - [`slopes`]: runs one of these at several fleet sizes and computes how each figure grows with the size.
-//! - [`soak`]: runs short plays of one real node under seeded faults, and checks the rules of the service.
+//! Each subcommand has a module:
+//!
+//! - [`node`]: measures one real edge node process under load, with fakes of its peers.
+//! - [`fleet`]: simulates a fleet of hollow nodes with its endpoints and counter service on one clock. A
+//!   hollow node runs a real decision engine; the rest of its process is modelled.
+//! - [`decisions`]: measures the decision engine alone: its memory, and its time for requests, timers and
+//!   endpoint lists.
+//! - [`slopes`]: runs one of these three at several fleet sizes and computes how each figure grows with the
+//!   size.
+//! - [`soak`]: runs short plays, each of one real edge node process under faults drawn from a seed, and
+//!   checks the rules of the service.
+//!
+//! The module [`fakes`] has the fakes of the peers of a real process: the discovery agent, the counter
+//! service and the endpoints (app servers).
 #![forbid(unsafe_code)]
 
 pub mod decisions;
--- a/crates/scale-bench/src/main.rs
+++ b/crates/scale-bench/src/main.rs
@@ -21,15 +21,17 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run one real edge node process against fakes of all its peers
+    /// Measure one real edge node process under load, with fakes of its peers
     Node(node::Options),
-    /// Run hollow nodes on one simulated clock, against simulated app servers and a simulated counter service
+    /// Simulate a fleet of hollow nodes (real decision engines, modelled processes) with its endpoints and
+    /// counter service on one clock
     Fleet(fleet::Options),
-    /// Measure the decision module alone: its time for a request, a timer tick and an endpoint list
+    /// Measure the decision engine alone: its memory, and its time for requests, timers and endpoint lists
     Decisions(decisions::Options),
-    /// Run a subcommand at several fleet sizes and print how each figure grows with the size
+    /// Run another subcommand at several fleet sizes and compute how each figure grows with the size
     Slopes(slopes::Options),
-    /// Run short plays of one edge node process under faults drawn from a seed, and check the service's rules
+    /// Run short plays, each of one real edge node process under faults drawn from a seed, and check the
+    /// rules of the service
     Soak(soak::Options),
 }
 
--- a/crates/scale-bench/src/memory.rs
+++ b/crates/scale-bench/src/memory.rs
@@ -19,7 +19,7 @@
     /// Returns `None` if the process has ended and its parent has not waited for it yet.
     ///
     /// # Errors
-    /// If there is no such process, or its status file can't be read.
+    /// Returns an error if there is no such process, or its status file can't be read.
     pub fn of(process: &str) -> Result<Option<Memory>, BenchError> {
         let path = status_path(process);
         let status = std::fs::read_to_string(&path).map_err(|source| BenchError::File { path, source })?;
@@ -34,7 +34,7 @@
     /// Reads the memory of this process.
     ///
     /// # Errors
-    /// If the kernel does not report the memory of this process.
+    /// Returns an error if the kernel does not report the memory of this process.
     pub fn own() -> Result<Memory, BenchError> {
         let source = io::Error::new(io::ErrorKind::InvalidData, "no number in its VmRSS or VmHWM line");
         Memory::of("self")?.ok_or_else(|| BenchError::File { path: status_path("self"), source })
--- a/crates/scale-bench/src/node.rs
+++ b/crates/scale-bench/src/node.rs
@@ -1,5 +1,6 @@
-//! Measures one real edge node process under load, with fakes of all its peers: the clients, the endpoints,
-//! the discovery agent and the counter service.
+//! The subcommand `node`: measures one real edge node process under load. This process sends the requests as
+//! the node's clients, and runs fakes of the node's peers: the endpoints, the discovery agent and the counter
+//! service.
 
 pub(crate) mod configuration;
 mod figures;
@@ -37,8 +38,8 @@
 /// Runs the measurement and prints its figures.
 ///
 /// # Errors
-/// Returns an error if the arguments contradict each other, the machine refuses a resource, the edge node
-/// fails, the run is interrupted, or the figures can't be written.
+/// Returns an error if the arguments contradict each other, the operating system denies a resource, the edge
+/// node fails, the run is interrupted, or the figures can't be written.
 pub fn run(options: Options) -> Result<(), BenchError> {
     measure(&options)?.print(&options.output)
 }
@@ -47,8 +48,8 @@
 /// and the fakes are being shut down.
 ///
 /// # Errors
-/// Returns an error if the arguments contradict each other, the machine refuses a resource, the edge node
-/// fails, or the run is interrupted.
+/// Returns an error if the arguments contradict each other, the operating system denies a resource, the edge
+/// node fails, or the run is interrupted.
 pub fn measure(options: &Options) -> Result<Report, BenchError> {
     options.check()?;
     limits::raise_descriptor_limit(options.descriptors())?;
--- a/crates/scale-bench/src/node/load/clients.rs
+++ b/crates/scale-bench/src/node/load/clients.rs
@@ -35,7 +35,7 @@
     body: Bytes,
 }
 
-/// Retries and new connections that sending one request took.
+/// Whether one request was sent a second time, and how many connections were opened for it.
 #[derive(Default)]
 struct ExchangeCounts {
     /// Whether the request was sent a second time, on a new connection.
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Sends a request now and returns how it ended. Waits for the response until [`LATE_RESPONSE_WAIT`] after the
-    /// deadline, and then counts the request as lost.
+    /// Sends a request now and returns how it ended. Waits for the response until [`LATE_RESPONSE_WAIT`]
+    /// after the deadline, and then counts the request as lost.
     pub async fn send(&self, request: ScheduledRequest, load_start: Instant) -> RequestResult {
         let due_at = load_start + request.due;
         let sent_at = Instant::now();
--- a/crates/scale-bench/src/node/options.rs
+++ b/crates/scale-bench/src/node/options.rs
@@ -1,4 +1,4 @@
-//! The options of `node`, their bounds, and the limits that are derived from them.
+//! The arguments of `node`, their bounds, and the limits that are derived from them.
 
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
@@ -26,7 +26,8 @@
 /// Maximum length of a request or response body, in bytes.
 const MAX_BODY_LENGTH: usize = 60_000;
 
-/// Options of `node`. Each field has the name of its command-line option.
+/// The arguments of `node`. Each field has the name of its command-line option. These names call endpoints
+/// `servers`, and accounts `tenants`.
 #[derive(Args, Debug, Clone, Serialize)]
 pub struct Options {
     /// Program of the edge node, from this build or an earlier one
@@ -81,8 +82,8 @@
     /// Length of the body of a response, in bytes; the body is never shorter than a request id
     #[arg(long, value_name = "BYTES", default_value_t = 1024, value_parser = parse_body_length)]
     pub answer_bytes: usize,
-    /// Number of accounts with a quota that send requests to this node; as many accounts without a quota send
-    /// requests, too
+    /// Number of accounts (tenants) with a quota that send requests to this node; as many accounts without a
+    /// quota send requests, too
     #[arg(
         long, value_name = "N", default_value_t = 200,
         value_parser = clap::value_parser!(u32).range(1..=1_000_000_000)
@@ -164,17 +165,17 @@
         value_parser = clap::value_parser!(u32).range(16..=8_192)
     )]
     pub memory_mb: u32,
-    /// Where the figures are written.
+    /// The format and destination of the figures.
     #[command(flatten)]
     #[serde(skip)]
     pub output: Output,
 }
 
 impl Options {
-    /// Checks that the options don't contradict each other and that the run is not too large.
+    /// Checks that the arguments don't contradict each other and that the run is not too large.
     ///
     /// # Errors
-    /// Returns an error that names the options that contradict each other or exceed a maximum.
+    /// Returns an error that names the arguments that contradict each other or exceed a maximum.
     pub fn check(&self) -> Result<(), BenchError> {
         if self.me >= self.nodes {
             return argument_error(format!("--me {} must be less than --nodes {}", self.me, self.nodes));
--- a/crates/scale-bench/src/node/process.rs
+++ b/crates/scale-bench/src/node/process.rs
@@ -107,8 +107,9 @@
 }
 
 impl Process {
-    /// Waits until the process exits by itself, without a time limit, and returns an error with its exit status
-    /// and last log line. The last lines of the log are waited for, too, at most [`LOG_DRAIN_TIME`].
+    /// Waits until the process exits by itself, without a time limit, and returns an error with its exit
+    /// status and last log line. Before it returns, it waits until the log is read to its end, at most
+    /// [`LOG_DRAIN_TIME`].
     pub async fn unexpected_exit(&mut self) -> BenchError {
         let status = self.child.wait().await;
         if let Some(log_reader) = self.log_reader.take() {
@@ -184,8 +185,8 @@
 
 impl StartingNode {
     /// Waits until the node reports its listen address. If the process exits before that, this function still
-    /// waits until the limit; the exit is reported by [`Process::unexpected_exit`], which can be waited for at
-    /// the same time.
+    /// waits until the limit; the exit is reported by [`Process::unexpected_exit`], which can be waited for
+    /// at the same time.
     ///
     /// # Errors
     /// Returns an error if the node has not reported its address within `limit`.
--- a/crates/scale-bench/src/report.rs
+++ b/crates/scale-bench/src/report.rs
@@ -8,10 +8,10 @@
 
 use crate::error::BenchError;
 
-/// Form and destination of the printed figures.
+/// Format and destination of the figures.
 #[derive(Args, Debug, Clone, Default)]
 pub struct Output {
-    /// Print JSON in place of the table
+    /// Print JSON instead of a table
     #[arg(long)]
     pub json: bool,
     /// Also write the JSON to this file
@@ -62,7 +62,7 @@
     /// Prints the report as JSON or as a table, and writes its JSON to the file that `output` names, if any.
     ///
     /// # Errors
-    /// If the report can't be encoded or printed, or the file can't be written.
+    /// Returns an error if the report can't be encoded or printed, or the file can't be written.
     pub fn print(&self, output: &Output) -> Result<(), BenchError> {
         print_result(self, &self.table(), output)
     }
@@ -83,7 +83,7 @@
 /// Prints a result as JSON or as `table`, and writes the JSON to the file that `output` names, if any.
 ///
 /// # Errors
-/// If the result can't be encoded or printed, or the file can't be written.
+/// Returns an error if the result can't be encoded or printed, or the file can't be written.
 pub fn print_result(result: &impl Serialize, table: &str, output: &Output) -> Result<(), BenchError> {
     let json = serde_json::to_string_pretty(result).map_err(|error| BenchError::System {
         operation: "cannot encode the result as JSON",
--- a/crates/scale-bench/src/slopes.rs
+++ b/crates/scale-bench/src/slopes.rs
@@ -22,8 +22,8 @@
 /// Runs the ladder and prints how its figures grow.
 ///
 /// # Errors
-/// If the arguments are invalid or contradict each other, a run has failed, or the result can't be written.
-/// The result is printed before an error about failed runs is returned.
+/// Returns an error if the arguments are invalid or contradict each other, a run has failed, or the result
+/// can't be written. The result is printed before an error about failed runs is returned.
 pub fn run(options: Options) -> Result<(), BenchError> {
     let sizes = options.check()?;
     let program = measured_program(&options)?;
--- a/crates/scale-bench/src/slopes/child.rs
+++ b/crates/scale-bench/src/slopes/child.rs
@@ -37,7 +37,7 @@
 /// killed.
 ///
 /// # Errors
-/// If the program yields no report; the error is the reason, in one line.
+/// Returns an error if the program yields no report; the error is the reason, in one line.
 pub fn run(
     program: &Path,
     arguments: &[impl AsRef<OsStr>],
--- a/crates/scale-bench/src/slopes/fit.rs
+++ b/crates/scale-bench/src/slopes/fit.rs
@@ -19,7 +19,7 @@
 pub struct Point {
     /// Index of the run at this size, from 0.
     pub run: u32,
-    /// The size: a number of app servers or of edge nodes.
+    /// The size: the number of endpoints or of edge nodes.
     pub size: f64,
     /// The figure's value, in its unit.
     pub value: f64,
@@ -42,7 +42,7 @@
     y: f64,
 }
 
-/// Returns the figure's slope, in its unit per app server or edge node. Returns `None` if it was measured at
+/// Returns the figure's slope, in its unit per endpoint or edge node. Returns `None` if it was measured at
 /// fewer than two sizes.
 pub fn slope(points: &[Point]) -> Option<Fitted> {
     fit_with_spread(points, |point| Coordinates { x: point.size, y: point.value })
@@ -52,7 +52,7 @@
 /// to the size.
 ///
 /// # Errors
-/// If a value is not positive, or the figure was measured at fewer than two sizes.
+/// Returns an error if a value is not positive, or the figure was measured at fewer than two sizes.
 pub fn exponent(points: &[Point]) -> Result<Fitted, NoExponent> {
     if points.iter().any(|point| point.value <= 0.0) {
         return Err(NoExponent::NotPositive);
--- a/crates/scale-bench/src/slopes/growth.rs
+++ b/crates/scale-bench/src/slopes/growth.rs
@@ -13,7 +13,7 @@
     values: Vec<SizedPoint>,
 }
 
-/// A value of a figure with the whole size at which it was measured.
+/// A value of a figure, with both numbers of the size at which it was measured.
 struct SizedPoint {
     size: Size,
     point: Point,
--- a/crates/scale-bench/src/slopes/ladder.rs
+++ b/crates/scale-bench/src/slopes/ladder.rs
@@ -43,7 +43,7 @@
     pub unit: String,
     /// The figure's values at each size at which it was measured.
     pub sizes: Vec<FigureAtSize>,
-    /// The figure's slope, in its unit per app server or edge node; `None` if it was measured at fewer than
+    /// The figure's slope, in its unit per endpoint or edge node; `None` if it was measured at fewer than
     /// two sizes.
     pub slope: Option<Fitted>,
     /// The exponent of the figure's growth; `None` if it has none.
--- a/crates/scale-bench/src/slopes/options.rs
+++ b/crates/scale-bench/src/slopes/options.rs
@@ -14,13 +14,14 @@
 /// Arguments that the ladder sets for its runs, so that the user may not set them.
 const RESERVED_ARGUMENTS: [&str; 5] = ["--servers", "--nodes", "--seed", "--json", "--out"];
 
-/// Arguments of `slopes`. The fields are named after the options of the command line.
+/// The arguments of `slopes`. Each field has the name of its command-line option. These names call endpoints
+/// `servers`.
 #[derive(Args, Debug, Clone, Serialize)]
 pub struct Options {
     /// Subcommand that is run at each size
     #[arg(value_enum)]
     pub command: MeasuredCommand,
-    /// Two or more sizes, each with its numbers of app servers and edge nodes
+    /// Two or more sizes, each with its numbers of endpoints (app servers) and edge nodes
     #[arg(long, value_name = "SERVERS/NODES,...", default_value = "200/300,4600/570,46000/5700")]
     pub sizes: String,
     /// Number of runs at each size, each with a seed of its own
@@ -29,10 +30,10 @@
     /// Seed of the first run; each further run takes the next number
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Whether growth is reported against the number of app servers or of edge nodes
+    /// Whether growth is reported against the number of endpoints or of edge nodes
     #[arg(long, value_enum, default_value_t = SizeDimension::Servers)]
     pub against: SizeDimension,
-    /// Time limit of the whole ladder in seconds; runs that have not ended by then fail
+    /// Time limit of all runs together, in seconds; runs that have not ended by then fail
     #[arg(long, default_value_t = 1_800.0)]
     pub limit_s: f64,
     /// Another build of this program, which is run instead of this one
@@ -41,7 +42,7 @@
     /// Further arguments that are passed to each run
     #[arg(last = true)]
     pub args: Vec<String>,
-    /// Where the figures are written.
+    /// The format and destination of the figures.
     #[command(flatten)]
     #[serde(skip)]
     pub output: Output,
@@ -55,7 +56,7 @@
     Decisions,
     /// One real edge node process
     Node,
-    /// Many hollow nodes on one simulated clock
+    /// A fleet of hollow nodes on one simulated clock
     Fleet,
 }
 
@@ -63,8 +64,8 @@
     /// Checks the arguments and returns the sizes, at least two.
     ///
     /// # Errors
-    /// If an argument is out of bounds, reserved or malformed, or all sizes have the same number of servers
-    /// or nodes, as selected by `--against`.
+    /// Returns an error if an argument is out of bounds, reserved or malformed, or all sizes have the same
+    /// number of endpoints or nodes, as selected by `--against`.
     pub fn check(&self) -> Result<Vec<Size>, BenchError> {
         if !(0.1..=14_400.0).contains(&self.limit_s) {
             return argument_error(format!(
--- a/crates/scale-bench/src/slopes/size.rs
+++ b/crates/scale-bench/src/slopes/size.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SizeDimension {
-    /// Number of app servers
+    /// Number of endpoints (app servers)
     Servers,
     /// Number of edge nodes
     Nodes,
--- a/crates/scale-bench/src/soak.rs
+++ b/crates/scale-bench/src/soak.rs
@@ -1,5 +1,5 @@
-//! The subcommand `soak`: many short plays, each of which runs one real node with faulty peers and clients
-//! and checks the rules of the service. All that happens in a play is drawn from its seed.
+//! The subcommand `soak`: runs short plays, each of one real edge node process with faulty peers and clients,
+//! and checks the rules of the service. Everything that happens in a play is drawn from its seed.
 
 mod client;
 mod endpoints;
@@ -36,7 +36,8 @@
 /// Runs the plays and prints a line for each play, a line for each broken rule, and the totals.
 ///
 /// # Errors
-/// If a rule was broken, a node or its peers can't be started, or the results can't be written.
+/// Returns an error if a rule was broken, a node or its peers can't be started, or the results can't be
+/// written.
 pub fn run(options: Options) -> Result<(), BenchError> {
     let results = play_all(&options)?;
     let count = |verdict| results.iter().filter(|result| result.verdict == verdict).count();
@@ -55,7 +56,7 @@
 /// Runs the plays, prints their results, and returns the results in the order in which the plays ended.
 ///
 /// # Errors
-/// If a node or its peers can't be started, or the results can't be written.
+/// Returns an error if a node or its peers can't be started, or the results can't be written.
 pub fn play_all(options: &Options) -> Result<Vec<PlayResult>, BenchError> {
     options.check()?;
     limits::raise_descriptor_limit(u64::from(options.parallel) * DESCRIPTORS_PER_PLAY + OTHER_DESCRIPTORS)?;
--- a/crates/scale-bench/src/soak/endpoints.rs
+++ b/crates/scale-bench/src/soak/endpoints.rs
@@ -45,7 +45,7 @@
     /// Starts an endpoint at every loopback address. The endpoints run as long as the runtime.
     ///
     /// # Errors
-    /// If no listener can be bound to the loopback device alone.
+    /// Returns an error if no listener can be bound to the loopback device alone.
     pub fn start(seed: u64, request_log: Arc<RequestLog>) -> io::Result<Arc<Self>> {
         let listener = listen_on_all_loopback_addresses()?;
         let port = listener.local_addr()?.port();
--- a/crates/scale-bench/src/soak/flood.rs
+++ b/crates/scale-bench/src/soak/flood.rs
@@ -1,5 +1,4 @@
-//! A flood: many connections at once, on which clients send nothing, a part of a request or a byte from time
-//! to time.
+//! A flood: many clients connect at once and send nothing, a part of a request, or a request byte by byte.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,8 +15,8 @@
 
 /// How long an idle or slow client keeps its connection.
 pub const CONNECTION_TIME: Duration = Duration::from_secs(4);
-/// Time within which the node has to answer with an error, or close the connection, when a client sends a
-/// part of a request and no more.
+/// If a client sends a part of a request and no more, the node has to respond with an error or close the
+/// connection within this time.
 const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_millis(3_200);
 /// Length of the part of a request that is sent, in bytes.
 const PARTIAL_REQUEST_BYTES: usize = 40;
@@ -36,8 +35,8 @@
     Slow,
 }
 
-/// Runs the clients of a flood until all have ended. Returns how many clients that sent a part of a request
-/// were neither answered nor closed in time.
+/// Runs the clients of a flood until all have ended. Returns the number of clients that sent a part of a
+/// request and got neither a response nor a close of the connection in time.
 pub async fn run(flood: &Flood, address: SocketAddr) -> usize {
     let text: Arc<str> = request_text(&CLASSES[0], "flood", UNLIMITED_PLAN, 99, 1_000).into();
     let mut clients = JoinSet::new();
@@ -54,8 +53,8 @@
     clients.join_all().await.into_iter().filter(|is_still_held| *is_still_held).count()
 }
 
-/// Runs one client of the flood. Returns whether it sent a part of a request and was neither answered nor
-/// closed in time.
+/// Runs one client of the flood. Returns whether it sent a part of a request and got neither a response nor a
+/// close of the connection in time.
 async fn run_client(address: SocketAddr, client: FloodClient, text: Arc<str>) -> bool {
     let Ok(Ok(mut stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await else {
         return false;
--- a/crates/scale-bench/src/soak/message.rs
+++ b/crates/scale-bench/src/soak/message.rs
@@ -32,7 +32,8 @@
 /// Reads one message. Returns `None` if the connection ends before the first byte.
 ///
 /// # Errors
-/// If the connection fails or ends within the message, or the length of the body is malformed or over 1 MiB.
+/// Returns an error if the connection fails or ends within the message, or the length of the body is
+/// malformed or over 1 MiB.
 pub async fn read_message(reader: &mut (impl AsyncBufRead + Unpin)) -> io::Result<Option<Message>> {
     let first_line = read_line(reader).await?;
     if first_line.is_empty() {
--- a/crates/scale-bench/src/soak/options.rs
+++ b/crates/scale-bench/src/soak/options.rs
@@ -10,10 +10,10 @@
 /// Maximum number of seeds in one run.
 const MAX_SEEDS: u64 = 1_000;
 
-/// Arguments of `soak`. The fields are named after the options of the command line.
+/// The arguments of `soak`. Each field has the name of its command-line option.
 #[derive(Args, Debug, Clone)]
 pub struct Options {
-    /// First and last seed of the plays, or a single seed, such as one that has failed, to repeat its play
+    /// First and last seed of the plays, or a single seed, for example to repeat a play that has failed
     #[arg(long, value_name = "A..B", default_value = "1..50", value_parser = seed_range)]
     pub seeds: RangeInclusive<u64>,
     /// Program of the edge node, from this build or an earlier one
@@ -31,7 +31,7 @@
     /// Checks the number of plays.
     ///
     /// # Errors
-    /// If there are more than 1000.
+    /// Returns an error if there are more than 1000.
     pub fn check(&self) -> Result<(), BenchError> {
         let count = self.seeds.end() - self.seeds.start() + 1;
         if count > MAX_SEEDS {
--- a/crates/scale-bench/src/soak/phase.rs
+++ b/crates/scale-bench/src/soak/phase.rs
@@ -1,4 +1,5 @@
-//! The phase of a play, which its clients have to know: flood, shutdown or end.
+//! The phase that a play is in: flood, shutdown or end. It determines when clients make new connections, and
+//! when the node may close a connection without having read a request.
 
 use std::sync::Mutex;
 
--- a/crates/scale-bench/src/soak/plan.rs
+++ b/crates/scale-bench/src/soak/plan.rs
@@ -8,7 +8,7 @@
 
 use crate::fakes::hash::mix;
 
-/// Faults begin before this time after the start of the load, in milliseconds.
+/// Every fault begins earlier than this after the start of the load, in milliseconds.
 const LAST_FAULT_START_MS: u64 = 4_000;
 /// Range of the duration of a fault, in milliseconds.
 const FAULT_LENGTH_MS: std::ops::Range<u64> = 500..3_000;
--- a/crates/scale-bench/src/soak/play.rs
+++ b/crates/scale-bench/src/soak/play.rs
@@ -1,5 +1,5 @@
-//! Runs one play: starts a real node with its peers and clients, carries out the plan, and shuts the node
-//! down.
+//! Runs one play: starts a real edge node process with its peers and clients, carries out the plan, and shuts
+//! the node down.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -118,7 +118,7 @@
 /// Runs the play with this seed and returns its result.
 ///
 /// # Errors
-/// If the peers or the node can't be started, or the configuration file can't be written.
+/// Returns an error if the peers or the node can't be started, or the configuration file can't be written.
 pub async fn run(seed: u64, program: &Path) -> Result<PlayResult, BenchError> {
     let plan = Plan::draw(seed);
     let request_log = Arc::<RequestLog>::default();
@@ -225,7 +225,7 @@
     }
 
     /// Runs the flood of the plan, if it has one, together with the newcomers. Returns a violation if the
-    /// node has not given up clients that sent a part of a request.
+    /// node kept the connections of clients that sent a part of a request.
     async fn run_flood(&self) -> Option<Violation> {
         let flood = self.plan.flood.as_ref()?;
         sleep_until(self.load_start + Duration::from_millis(flood.start_ms)).await;
--- a/crates/scale-bench/src/soak/rules.rs
+++ b/crates/scale-bench/src/soak/rules.rs
@@ -74,7 +74,7 @@
         /// Time within which a request had to be served, in milliseconds.
         within_ms: u64,
     },
-    /// The node did not give up clients that never completed their request.
+    /// The node kept the connections of clients that sent a part of a request and no more.
     #[error("{clients} clients that sent a part of a request were neither answered nor closed in time")]
     BadClientsHeld {
         /// Number of these clients.
@@ -155,8 +155,8 @@
     pub served: usize,
     /// Requests that got a response with another status.
     pub not_served: usize,
-    /// Requests whose connection was closed without a response. Those closes that no rule permits are counted
-    /// here, too.
+    /// Requests whose connection was closed without a response. Closes that violate a rule are counted here,
+    /// too.
     pub excused: usize,
     /// Requests whose client closed the connection before the response.
     pub left: usize,
--- a/crates/scale-bench/tests/counter_service.rs
+++ b/crates/scale-bench/tests/counter_service.rs
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test]
-async fn pipelined_calls_are_answered_in_order() {
+async fn pipelined_calls_get_their_replies_in_order() {
     let service =
         CounterService::start(capacity(1000.0)).await.expect("the service should listen on a free port");
     let mut connection = Connection::open(service.address()).await;
--- a/crates/scale-bench/tests/decisions.rs
+++ b/crates/scale-bench/tests/decisions.rs
@@ -1,5 +1,5 @@
-//! Tests of `scale-bench decisions`: a seed determines the work, and invalid arguments give an error of one
-//! line.
+//! Tests of the subcommand `decisions`: a seed determines the work, and invalid arguments give an error of
+//! one line.
 
 mod common {
     pub mod command;
@@ -13,7 +13,7 @@
     let arguments = [&["--json", "--warm-up-s", "0.5", "--run-s", "2"], arguments].concat();
     let output = run("decisions", &arguments);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    serde_json::from_slice(&output.stdout).expect("standard output is not a JSON report")
+    serde_json::from_slice(&output.stdout).expect("standard output should be a JSON report")
 }
 
 /// Returns the figures that count events, calls or servers, without those that depend on time and memory.
--- a/crates/scale-bench/tests/discovery_agent.rs
+++ b/crates/scale-bench/tests/discovery_agent.rs
@@ -50,7 +50,8 @@
     let replaced = read_list(&mut connection).await;
     assert_eq!((replaced.version, replaced.is_snapshot, replaced.endpoints.len()), (3, true, 31));
 
-    // A request that comes while the agent is silent is answered afterwards, with the list at that time.
+    // A request that comes while the agent is silent gets its response afterwards, with the list at that
+    // time.
     agent.set_silent(true);
     connection.send_get("/discovery/hosts?after=3&wait_ms=0").await;
     connection.assert_silent().await;
--- a/crates/scale-bench/tests/fleet.rs
+++ b/crates/scale-bench/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Tests of simulated fleets of some dozens of hollow nodes. The clock is simulated, so a seed determines the
-//! result.
+//! Tests of the subcommand `fleet` with some dozens of hollow nodes. The clock is simulated, so a seed
+//! determines the result.
 
 use clap::Parser;
 use scale_bench::fleet::{measure, Options};
--- a/crates/scale-bench/tests/node.rs
+++ b/crates/scale-bench/tests/node.rs
@@ -82,7 +82,7 @@
 
 /// Returns the ids of the processes whose parent is `parent_id`.
 fn child_ids(parent_id: u32) -> Vec<u32> {
-    let processes = std::fs::read_dir("/proc").expect("/proc can be listed").flatten();
+    let processes = std::fs::read_dir("/proc").expect("/proc should be listed").flatten();
     let ids = processes.filter_map(|entry| entry.file_name().to_str()?.parse().ok());
     ids.filter(|&id| parent_of(id) == Some(parent_id)).collect()
 }
@@ -115,12 +115,12 @@
 fn interrupted_run_leaves_no_process_behind() {
     let mut command = Command::new(PROGRAM);
     command.args(["node", "--program", "/usr/bin/yes"]).stdout(Stdio::null()).stderr(Stdio::piped());
-    let bench = command.spawn().expect("scale-bench starts");
+    let bench = command.spawn().expect("scale-bench should start");
     let node = wait_for_child(&bench, "yes");
     let kill = Command::new("sh").args(["-c", &format!("kill -TERM {}", bench.id())]).status();
-    assert!(kill.expect("sh runs").success());
-    let output = bench.wait_with_output().expect("scale-bench exits");
-    let error_output = String::from_utf8(output.stderr).expect("standard error is UTF-8");
+    assert!(kill.expect("sh should run").success());
+    let output = bench.wait_with_output().expect("scale-bench should exit");
+    let error_output = String::from_utf8(output.stderr).expect("standard error should be UTF-8");
     assert_eq!(output.status.code(), Some(1), "{error_output}");
     assert_eq!(error_output.lines().count(), 1, "{error_output}");
     assert!(error_output.contains("interrupted"), "{error_output}");
@@ -131,7 +131,7 @@
 /// test.
 fn build_edge_node() -> String {
     let arguments = ["build", "--locked", "--workspace", "--bin", "edge-node", "--message-format", "json"];
-    let output = Command::new(env!("CARGO")).args(arguments).output().expect("cargo starts");
+    let output = Command::new(env!("CARGO")).args(arguments).output().expect("cargo should start");
     let text = String::from_utf8_lossy(&output.stdout);
     let executable = |line: &str| {
         let message: serde_json::Value = serde_json::from_str(line).ok()?;
@@ -154,7 +154,8 @@
     arguments.extend(SHORT_RUN.split_whitespace());
     let output = run("node", &arguments);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    let report: Report = serde_json::from_slice(&output.stdout).expect("standard output holds a report");
+    let report: Report =
+        serde_json::from_slice(&output.stdout).expect("standard output should be a JSON report");
     let get = |name: &str| report.get(name).unwrap_or_else(|| panic!("the report has no figure {name}"));
     let answered: f64 = ["answered_200", "answered_429", "answered_503"].map(get).iter().sum();
     assert_eq!(answered, get("requests"), "{report:?}");
--- a/crates/scale-bench/tests/slopes.rs
+++ b/crates/scale-bench/tests/slopes.rs
@@ -1,4 +1,4 @@
-//! Tests of `scale-bench slopes`: fits to known values, and ladders in which some runs fail.
+//! Tests of the subcommand `slopes`: fits to known values, and ladders in which some runs fail.
 
 mod common {
     pub mod command;
@@ -32,11 +32,11 @@
 fn fit_finds_the_exponent_of_exact_power_laws() {
     for power in [0.0, 0.5, 1.0, 2.0] {
         let fitted =
-            exponent(&points(|_, size| 3.0 * size.powf(power))).expect("the points have no exponent");
+            exponent(&points(|_, size| 3.0 * size.powf(power))).expect("the points should have an exponent");
         assert_near(fitted.value, power, 1e-9);
         assert_near(fitted.most - fitted.least, 0.0, 1e-9);
     }
-    let line = slope(&points(|_, size| 7.0 - 0.25 * size)).expect("the points have no slope");
+    let line = slope(&points(|_, size| 7.0 - 0.25 * size)).expect("the points should have a slope");
     assert_near(line.value, -0.25, 1e-9);
 }
 
@@ -45,11 +45,11 @@
     // The values of each run deviate by up to a tenth, in a fixed pattern of their own.
     let noise = [[0.9, 1.1, 1.0, 1.0], [1.1, 0.9, 1.05, 0.95], [1.0, 1.0, 0.9, 1.1]];
     let factor = |run: u32, size: f64| {
-        let index = SIZES.iter().position(|&known| known == size).expect("the size is not one of SIZES");
+        let index = SIZES.iter().position(|&known| known == size).expect("the size should be one of SIZES");
         noise[run as usize][index]
     };
-    let fitted =
-        exponent(&points(|run, size| 2.0 * size * factor(run, size))).expect("the points have no exponent");
+    let fitted = exponent(&points(|run, size| 2.0 * size * factor(run, size)))
+        .expect("the points should have an exponent");
     assert_near(fitted.value, 1.0, 0.02);
     assert!(fitted.least < fitted.value && fitted.value < fitted.most, "{fitted:?}");
     assert!((0.01..0.1).contains(&(fitted.most - fitted.least)), "{fitted:?}");
@@ -58,7 +58,7 @@
 #[test]
 fn run_with_another_exponent_widens_the_spread() {
     let mixed = exponent(&points(|run, size| if run == 2 { size * size } else { size }))
-        .expect("the points have no exponent");
+        .expect("the points should have an exponent");
     assert_near(mixed.least, 1.0, 1e-9);
     assert_near(mixed.most, 2.0, 1e-9);
     assert_near(mixed.value, 4.0 / 3.0, 1e-9);
@@ -91,13 +91,13 @@
     assert!(!output.status.success());
     assert!(String::from_utf8_lossy(&output.stderr).contains("2 of 6 runs failed"));
     let ladder: Ladder =
-        serde_json::from_slice(&output.stdout).expect("standard output is not a JSON ladder");
+        serde_json::from_slice(&output.stdout).expect("standard output should be a JSON ladder");
     let runs: Vec<_> =
         ladder.runs.iter().map(|run| (run.size.servers, run.seed, run.report.is_some())).collect();
     let expected = [1, 2].map(|seed| [(20, seed, false), (40, seed, true), (80, seed, true)]);
     assert_eq!(runs, expected.concat());
     for run in ladder.runs.iter().filter(|run| run.size.servers == 20) {
-        let failure = run.failure.as_deref().expect("the run has no failure");
+        let failure = run.failure.as_deref().expect("the run should have a failure");
         assert!(failure.contains("--me 35 is no node of 30"), "{run:?}");
     }
     let figure = |name: &str| ladder.figures.iter().find(|figure| figure.name == name).expect(name);
@@ -105,7 +105,7 @@
     let means: Vec<_> = timers.sizes.iter().map(|at_size| (at_size.size, at_size.mean)).collect();
     let size = |servers, nodes| Size { servers, nodes };
     assert_eq!(means, [(size(40, 60), 25.0), (size(80, 120), 25.0)]);
-    assert_near(timers.exponent.expect("the figure has no exponent").value, 0.0, 1e-9);
+    assert_near(timers.exponent.expect("the figure should have an exponent").value, 0.0, 1e-9);
     assert_eq!(figure("failed").no_exponent, Some(NoExponent::NotPositive));
 }
 
@@ -125,7 +125,7 @@
     let output = ladder_of_decisions(&arguments, &["--rate", "5000", "--run-s", "600"]);
     assert!(!output.status.success());
     let ladder: Ladder =
-        serde_json::from_slice(&output.stdout).expect("standard output is not a JSON ladder");
+        serde_json::from_slice(&output.stdout).expect("standard output should be a JSON ladder");
     let failures: Vec<_> = ladder.runs.iter().filter_map(|run| run.failure.as_deref()).collect();
     assert_eq!(failures.len(), 6, "{failures:?}");
     assert!(failures[0].ends_with("ended by the time limit"), "{failures:?}");
--- a/crates/scale-bench/tests/soak.rs
+++ b/crates/scale-bench/tests/soak.rs
@@ -1,4 +1,4 @@
-//! Tests of `scale-bench soak`: drawing a play from its seed, and the rules against which requests are
+//! Tests of the subcommand `soak`: drawing a play from its seed, and the rules against which requests are
 //! checked.
 
 mod common {
@@ -31,7 +31,7 @@
 
 #[test]
 fn same_seed_draws_the_same_plan() {
-    let text = |seed| serde_json::to_string(&Plan::draw(seed)).expect("the plan can't be serialized");
+    let text = |seed| serde_json::to_string(&Plan::draw(seed)).expect("the plan should serialize");
     assert_eq!(text(3), text(3));
     assert_ne!(text(3), text(4));
     let plans: Vec<Plan> = (0..300).map(Plan::draw).collect();
