--- a/crates/scale-bench/src/decisions/comparison.rs
+++ b/crates/scale-bench/src/decisions/comparison.rs
@@ -25,10 +25,10 @@
 /// Runs all rounds and returns a report of medians and ratios.
 ///
 /// # Errors
-/// If the path of this program is unknown, or a run fails.
+/// Returns an error if the path of this program is unknown, or a run fails.
 pub fn compare(options: &Options, other_program: &Path) -> Result<Report, BenchError> {
     let this_program = std::env::current_exe()
-        .map_err(|source| BenchError::System { what: "cannot find this program", source })?;
+        .map_err(|source| BenchError::System { operation: "cannot find this program", source })?;
     let time_limit_at = Instant::now() + Duration::from_secs_f64(options.limit_s) * 2 * options.rounds;
     let other_servers = options.beside_servers.unwrap_or(options.servers);
     let other_nodes = options.beside_nodes.unwrap_or(options.nodes);
--- a/crates/scale-bench/src/decisions/model.rs
+++ b/crates/scale-bench/src/decisions/model.rs
@@ -40,8 +40,8 @@
 /// Counts of what happened while the model was measured.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Counts {
-    /// Requests that got their response.
-    pub answered: u64,
+    /// Requests that were served.
+    pub served: u64,
     /// Attempts that the node cancelled.
     pub cancelled: u64,
     /// Calls to the counter service.
@@ -170,7 +170,7 @@
     /// Advances the simulated clock by `span` and processes all events that are due.
     ///
     /// # Errors
-    /// If the run has taken longer than its time limit, in real time.
+    /// Returns an error if the run has taken longer than its time limit, in real time.
     pub fn advance(&mut self, span: Micros) -> Result<(), BenchError> {
         let until = self.now + span;
         while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= until) {
@@ -246,14 +246,14 @@
 
     fn draw_request(&mut self) -> NewRequest {
         self.requests += 1;
-        let under_quota = self.random.random_bool(self.options.quota_share);
+        let has_quota = self.random.random_bool(self.options.quota_share);
         let account = self.random.random_range(0..u64::from(self.options.customers));
         NewRequest {
             id: RequestId::from(format!("r{}", self.requests).as_str()),
             // Accounts with a quota have odd ids and accounts without one even ids, so they never overlap.
-            account: AccountId(2 * account + u64::from(under_quota)),
+            account: AccountId(2 * account + u64::from(has_quota)),
             class: CLASS_MIX[self.random.random_range(0..CLASS_MIX.len())],
-            plan: if under_quota { QUOTA_PLAN } else { UNLIMITED_PLAN },
+            plan: if has_quota { QUOTA_PLAN } else { UNLIMITED_PLAN },
             units: f64::from(self.random.random_range(1..=MAX_UNITS)),
             first_account_node: 0,
             account_node_count: 2,
@@ -272,7 +272,7 @@
     ) {
         let request_completed = outcome == Outcome::Ok;
         if request_completed && self.attempts.remove(&request).is_some() && self.measuring {
-            self.counts.answered += 1;
+            self.counts.served += 1;
         }
         let ended = EndedAttempt {
             request,
@@ -343,7 +343,7 @@
             Action::ProbeEndpoint { endpoint } => {
                 self.schedule(COUNTER_AND_PROBE_DELAY, ModelEvent::ProbeCompletes(endpoint));
             }
-            // The run sends the whole list at the start and each change as it happens, without being asked.
+            // The model sends the whole list at the start and each change as it happens, without a request.
             Action::FetchEndpoints | Action::WatchEndpoints => {}
         }
     }
@@ -369,8 +369,8 @@
         self.schedule(response_time as Micros, end);
     }
 
-    /// Reports the attempt to the node as cancelled. Its response may still be in the queue; by the time that
-    /// it is reported, the node knows that the attempt has ended.
+    /// Reports the attempt to the node as cancelled. The attempt's response may still be in the event queue.
+    /// When that is reported later, the node already knows that the attempt has ended.
     fn cancel_attempt(&mut self, request: RequestId, number: u32) {
         let end = ModelEvent::AttemptEnds {
             request,
--- a/crates/scale-bench/src/fleet/figures.rs
+++ b/crates/scale-bench/src/fleet/figures.rs
@@ -1,6 +1,6 @@
 //! Computes the figures of a fleet report from the measurements of the run.
 
-use super::failure_name::Failure;
+use super::failure_kind::FailureKind;
 use super::measurements::{Measurements, INTERVAL};
 use super::world::World;
 use crate::report::Report;
@@ -109,9 +109,9 @@
     add_summary("nodes_per_server", &sending_nodes, "nodes", report);
     add_summary("servers_per_node", &world.endpoints_used_by_node(), "servers met", report);
     add_summary("servers_known_per_node", &world.endpoints_known_by_node(), "servers", report);
-    if world.scenario.fail != Failure::Calm {
-        let note = "nodes_per_server and servers_per_node are counted from the failure's begin on (of a release: from \
-                    the end of the warm-up on)";
+    if world.scenario.fail != FailureKind::Calm {
+        let note = "nodes_per_server and servers_per_node are counted from the failure's begin on (of a \
+                    release: from the end of the warm-up on)";
         report.notes.push(note.into());
     }
 }
@@ -128,7 +128,7 @@
 /// If nothing fails, adds the worst service of any interval only.
 fn add_recovery(world: &World, report: &mut Report) {
     let service = world.measurements.service_by_interval();
-    if world.scenario.fail == Failure::Calm {
+    if world.scenario.fail == FailureKind::Calm {
         report.add("service_least", Summary::of(&service).least, "share, worst second");
         return;
     }
@@ -143,9 +143,10 @@
     report.add("well_again_after", recovered_after as f64, "s");
     report.add("well_again", recovered, "1: yes, 0: not within the run");
     report.notes.push(format!(
-        "well_again_after: whole seconds from the failure's begin to the end of the last second, by when requests \
-         were first asked, in which the share served of the units asked inside quotas was more than {RECOVERY_TOLERANCE} under \
-         the mean of the seconds before; one second of {:.0} requests swings by chance, too",
+        "well_again_after: whole seconds from the failure's begin to the end of the last second, by when \
+         requests were first asked, in which the share served of the units asked inside quotas was more \
+         than {RECOVERY_TOLERANCE} under the mean of the seconds before; one second of {:.0} requests \
+         swings by chance, too",
         world.measurements.requests / service.len().max(1) as f64,
     ));
 }
--- a/crates/scale-bench/src/soak/rules.rs
+++ b/crates/scale-bench/src/soak/rules.rs
@@ -74,7 +74,7 @@
         /// Time within which a request had to be served, in milliseconds.
         within_ms: u64,
     },
-    /// The node did not give up clients that never completed their request.
+    /// The node kept the connections of clients that sent a part of a request and no more.
     #[error("{clients} clients that sent a part of a request were neither answered nor closed in time")]
     BadClientsHeld {
         /// Number of these clients.
@@ -92,7 +92,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Ending {
     /// The response was received completely.
-    Answered {
+    Responded {
         /// The status of the response.
         status: u16,
         /// The body of the response.
@@ -155,8 +155,8 @@
     pub served: usize,
     /// Requests that got a response with another status.
     pub not_served: usize,
-    /// Requests whose connection was closed without a response. Those closes that no rule permits are counted
-    /// here, too.
+    /// Requests whose connection was closed without a response. Closes that violate a rule are counted here,
+    /// too.
     pub excused: usize,
     /// Requests whose client closed the connection before the response.
     pub left: usize,
@@ -185,7 +185,7 @@
     /// Returns whether a request that was sent at `since` or later got a response with status 200.
     pub fn has_served_since(&self, since: Instant) -> bool {
         let is_served = |request: &SentRequest| {
-            request.sent_at >= since && matches!(request.ending, Some(Ending::Answered { status: 200, .. }))
+            request.sent_at >= since && matches!(request.ending, Some(Ending::Responded { status: 200, .. }))
         };
         lock(&self.records).requests.values().any(is_served)
     }
@@ -196,8 +196,8 @@
         let mut counts = Counts { requests: records.requests.len(), ..Counts::default() };
         for request in records.requests.values() {
             match &request.ending {
-                Some(Ending::Answered { status: 200, .. }) => counts.served += 1,
-                Some(Ending::Answered { .. }) => counts.not_served += 1,
+                Some(Ending::Responded { status: 200, .. }) => counts.served += 1,
+                Some(Ending::Responded { .. }) => counts.not_served += 1,
                 Some(Ending::Closed { .. }) => counts.excused += 1,
                 Some(Ending::ClosedByClient { .. }) => counts.left += 1,
                 Some(Ending::Incomplete | Ending::TimedOut) | None => {}
@@ -231,7 +231,7 @@
     let id = id.to_owned();
     let attempts = attempts.len();
     match request.ending.as_ref()? {
-        Ending::Answered { status: 200, body } if !body.starts_with(id.as_bytes()) => {
+        Ending::Responded { status: 200, body } if !body.starts_with(id.as_bytes()) => {
             let body = String::from_utf8_lossy(&body[..body.len().min(40)]).into_owned();
             Some(Violation::WrongBody { id, body })
         }
@@ -244,7 +244,7 @@
             let time_ms = (request.deadline + RESPONSE_SLACK).as_millis() as u64;
             Some(Violation::NoAnswer { id, time_ms, attempts })
         }
-        Ending::Answered { .. } | Ending::Closed { .. } | Ending::ClosedByClient { .. } => None,
+        Ending::Responded { .. } | Ending::Closed { .. } | Ending::ClosedByClient { .. } => None,
     }
 }
 
--- a/crates/scale-bench/tests/decisions.rs
+++ b/crates/scale-bench/tests/decisions.rs
@@ -1,11 +1,11 @@
-//! Tests of `scale-bench decisions`: a seed determines the work, and invalid arguments give an error of one
-//! line.
+//! Tests of the subcommand `decisions`: a seed determines the work, and invalid arguments give an error of
+//! one line.
 
 mod common {
     pub mod command;
 }
 
-use common::command::{assert_refused_in_one_line, run, PROGRAM};
+use common::command::{assert_rejected_in_one_line, run, PROGRAM};
 use scale_bench::report::Report;
 
 /// Runs `decisions` for a short time with these arguments and returns its report.
@@ -13,7 +13,7 @@
     let arguments = [&["--json", "--warm-up-s", "0.5", "--run-s", "2"], arguments].concat();
     let output = run("decisions", &arguments);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    serde_json::from_slice(&output.stdout).expect("standard output is not a JSON report")
+    serde_json::from_slice(&output.stdout).expect("standard output should be a JSON report")
 }
 
 /// Returns the figures that count events, calls or servers, without those that depend on time and memory.
@@ -71,7 +71,7 @@
         (&["--beside", "/nowhere/scale-bench"], "/nowhere/scale-bench"),
         (&["--limit-s", "0.1", "--rate", "5000", "--run-s", "600"], "--limit-s 0.1"),
     ] {
-        let line = assert_refused_in_one_line(&run("decisions", arguments), arguments);
+        let line = assert_rejected_in_one_line(&run("decisions", arguments), arguments);
         assert!(line.contains(part), "{arguments:?}: {line}");
     }
 }
