--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -5,9 +5,7 @@
 use super::attempts::PendingRequest;
 use super::balancer::Balancer;
 use super::deferral::DeferralTerms;
-use super::load_shedding::{
-    shortest_latency_objective, LoadShedder, GREATEST_SHED_THRESHOLD, LEAST_SHED_THRESHOLD,
-};
+use super::load_shedding::{shortest_latency_objective, LoadShedder, MAX_SHED_THRESHOLD, MIN_SHED_THRESHOLD};
 use super::quota::{QueuedRequest, QuotaDecision, QuotaRequest, QuotaStage};
 use super::{
     AccountId, Action, DecisionEngine, Micros, NewRequest, Plan, RequestId, Settings, TICK_INTERVAL,
@@ -15,10 +13,10 @@
 
 /// A retry that cannot meet its latency objective is still served if late responses of its class earn at
 /// least this share of the weight.
-const LEAST_LATE_WEIGHT: f64 = 0.5;
+const MIN_LATE_WEIGHT: f64 = 0.5;
 /// Longest wait of a request for the counter, in multiples of the counter's timeout: one for a call, one for
 /// its reread, and one more.
-const LONGEST_COUNTER_WAIT_TIMEOUTS: u64 = 3;
+const MAX_COUNTER_WAIT_TIMEOUTS: u64 = 3;
 /// Two timeouts of a client count as equal if they differ by less than the timeout divided by this number.
 const TIMEOUT_TOLERANCE_DIVISOR: u64 = 50;
 
@@ -64,7 +62,7 @@
     /// 3. If it arrives too late to earn its weight or to get a response at all, it is rejected.
     /// 4. If the quotas grant it, it is sent to an endpoint.
     /// 5. If the quotas need a reply of the counter, it waits.
-    /// 6. Otherwise it is beyond quota: it is served if that earns more than it costs and the fleet has room
+    /// 6. Otherwise it is over quota: it is served if that earns more than it costs and the fleet has room
     ///    for it, else it is deferred.
     pub(super) fn on_request(&mut self, mut request: NewRequest, actions: &mut Vec<Action>) {
         if request.class >= self.settings.classes.len() || self.pending.contains(&request.id) {
@@ -86,7 +84,7 @@
         match self.decide_by_quota(&id, QuotaStage::OnArrival, actions) {
             QuotaDecision::Granted { drawn_units } => self.admit(&id, drawn_units, actions),
             QuotaDecision::Wait => self.wait_for_counter(account, QueuedRequest { id, units }),
-            QuotaDecision::BeyondQuota => self.handle_beyond_quota(&id, actions),
+            QuotaDecision::OverQuota => self.handle_over_quota(&id, actions),
         }
     }
 
@@ -101,7 +99,7 @@
                     self.set_waits_for_counter(&queued.id, true);
                     return self.quota.requeue(account, queued);
                 }
-                QuotaDecision::BeyondQuota => self.handle_beyond_quota(&queued.id, actions),
+                QuotaDecision::OverQuota => self.handle_over_quota(&queued.id, actions),
             }
         }
     }
@@ -125,18 +123,18 @@
             let account = pending.request.account;
             self.quota.remove_from_queue(account, &id);
             self.set_waits_for_counter(&id, false);
-            match self.decide_by_quota(&id, QuotaStage::AfterLongestWait, actions) {
+            match self.decide_by_quota(&id, QuotaStage::AfterWaitLimit, actions) {
                 QuotaDecision::Granted { drawn_units } => self.admit(&id, drawn_units, actions),
-                QuotaDecision::Wait | QuotaDecision::BeyondQuota => self.handle_beyond_quota(&id, actions),
+                QuotaDecision::Wait | QuotaDecision::OverQuota => self.handle_over_quota(&id, actions),
             }
         }
     }
 
     fn overdue_counter_waits(&self) -> Vec<RequestId> {
-        let longest_counter_wait = self.settings.counter.timeout * LONGEST_COUNTER_WAIT_TIMEOUTS;
+        let max_counter_wait = self.settings.counter.timeout * MAX_COUNTER_WAIT_TIMEOUTS;
         let is_overdue = |pending: &PendingRequest| {
-            let longest_wait = longest_counter_wait.min(self.longest_wait(pending));
-            pending.waits_for_counter && self.now >= pending.arrived_at + longest_wait
+            let max_wait = max_counter_wait.min(self.max_wait(pending));
+            pending.waits_for_counter && self.now >= pending.arrived_at + max_wait
         };
         let overdue = self.pending.iter().filter(|(_, pending)| is_overdue(pending));
         overdue.map(|(id, _)| id.clone()).collect()
@@ -168,7 +166,7 @@
         let elapsed = class.total_timeout.saturating_sub(remaining) as f64;
         request.is_retry
             && !self.client_timeouts.is_full_timeout(request.class, remaining)
-            && class.late_weight < LEAST_LATE_WEIGHT
+            && class.late_weight < MIN_LATE_WEIGHT
             && elapsed + self.balancer.fleet_mean_latency() / 2.0 > class.latency_objective as f64
     }
 
@@ -186,12 +184,12 @@
         actions: &mut Vec<Action>,
     ) -> QuotaDecision {
         let now = self.now;
-        let Some(pending) = self.pending.get(id) else { return QuotaDecision::BeyondQuota };
+        let Some(pending) = self.pending.get(id) else { return QuotaDecision::OverQuota };
         let Some(request) = quota_request(&pending.request, stage, &self.settings) else {
             return QuotaDecision::Granted { drawn_units: 0.0 };
         };
         if self.quota.is_concurrency_exhausted(&request, self.balancer.fleet_mean_latency(), now) {
-            return QuotaDecision::BeyondQuota;
+            return QuotaDecision::OverQuota;
         }
         if request.plan.quota_units_per_second <= 0.0 {
             return QuotaDecision::Granted { drawn_units: 0.0 };
@@ -208,23 +206,23 @@
         self.dispatch_admitted(id, actions);
     }
 
-    /// Serves a request beyond quota if it earns more than it costs and the fleet has room for it. Otherwise
+    /// Serves a request over quota if it earns more than it costs and the fleet has room for it. Otherwise
     /// defers it.
-    fn handle_beyond_quota(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
+    fn handle_over_quota(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.get(id) else { return };
         let Some(plan) = self.settings.plans.get(pending.request.plan) else { return };
         let class = &self.settings.classes[pending.request.class];
         let expected_response_time =
             self.load_shedder.expected_response_time(&self.settings, &self.balancer, self.now);
-        let has_room = expected_response_time < class.latency_objective as f64 * LEAST_SHED_THRESHOLD;
-        if has_room && is_profitable_beyond_quota(plan) {
+        let has_room = expected_response_time < class.latency_objective as f64 * MIN_SHED_THRESHOLD;
+        if has_room && is_profitable_over_quota(plan) {
             self.dispatch_admitted(id, actions);
         } else {
             self.defer(id, actions);
         }
     }
 
-    /// Rejects a request beyond quota, with a `Retry-After` time if the deferral schedule has room for one. A
+    /// Rejects a request over quota, with a `Retry-After` time if the deferral schedule has room for one. A
     /// retry is rejected without a `Retry-After` time.
     fn defer(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.pending.get(id).map(|pending| &pending.request) else { return };
@@ -237,11 +235,11 @@
 
     fn deferral_terms(&self, request: &NewRequest) -> Option<DeferralTerms> {
         let plan = self.settings.plans.get(request.plan)?;
-        let local_use = self.quota.local_use(request.account, self.now)?;
+        let local_usage = self.quota.local_usage(request.account, self.now)?;
         let terms = if plan.quota_units_per_second > 0.0 {
-            DeferralTerms::for_unit_quota(plan, request.units, &local_use)
+            DeferralTerms::for_unit_quota(plan, request.units, &local_usage)
         } else {
-            DeferralTerms::for_concurrency_quota(plan, self.balancer.fleet_mean_latency(), &local_use)
+            DeferralTerms::for_concurrency_quota(plan, self.balancer.fleet_mean_latency(), &local_usage)
         };
         Some(terms.with_horizon_up_to(self.settings.limits.max_retry_after))
     }
@@ -271,15 +269,15 @@
     })
 }
 
-/// Returns whether the plan's requests beyond quota earn more than they cost. Returns `false` for a plan with
+/// Returns whether the plan's requests over quota earn more than they cost. Returns `false` for a plan with
 /// a hard ceiling.
-fn is_profitable_beyond_quota(plan: &Plan) -> bool {
+fn is_profitable_over_quota(plan: &Plan) -> bool {
     plan.over_quota_weight > plan.over_quota_cost && plan.ceiling_units_per_second <= 0.0
 }
 
 /// Returns the load of the fleet, from 0 to 1: the expected response time divided by the response time at
 /// which requests of the greatest weight are shed.
 fn fleet_load(load_shedder: &LoadShedder, settings: &Settings, balancer: &Balancer, now: Micros) -> f64 {
-    let shedding_latency = (shortest_latency_objective(settings) * GREATEST_SHED_THRESHOLD).max(1.0);
+    let shedding_latency = (shortest_latency_objective(settings) * MAX_SHED_THRESHOLD).max(1.0);
     (load_shedder.expected_response_time(settings, balancer, now) / shedding_latency).min(1.0)
 }
--- a/src/decision/attempts/mod.rs
+++ b/src/decision/attempts/mod.rs
@@ -27,7 +27,7 @@
     /// the balancer, so it is called once per request.
     pub(super) fn dispatch_admitted(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         self.dispatch(id, actions);
-        self.balancer.request_launched();
+        self.balancer.request_admitted();
     }
 
     /// Sends a request to an endpoint, or makes it wait until an endpoint can take it.
--- a/src/decision/balancer/endpoint_table.rs
+++ b/src/decision/balancer/endpoint_table.rs
@@ -2,7 +2,8 @@
 //! and by traffic.
 //!
 //! If the work for a request or a tick grew with the fleet, a node with some ten thousand endpoints could not
-//! serve at all. Only functions that apply or forget list entries therefore iterate over all endpoints.
+//! serve at all. Therefore only functions that apply list entries or drop endpoints iterate over all
+//! endpoints.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -257,15 +258,15 @@
         }
     }
 
-    /// Forgets removed endpoints that have no attempts in flight. New endpoints keep replacing old ones, so
+    /// Drops removed endpoints that have no attempts in flight. New endpoints keep replacing old ones, so
     /// the state would otherwise grow without bound. If many endpoints have traffic, also drops from their
     /// index those whose traffic is old.
-    pub fn forget_removed(&mut self, now: Micros) {
-        self.drop_removed();
+    pub fn drop_unneeded_state(&mut self, now: Micros) {
+        self.drop_removed_endpoints();
         self.drop_old_traffic(now);
     }
 
-    fn drop_removed(&mut self) {
+    fn drop_removed_endpoints(&mut self) {
         let can_be_dropped = |endpoint: &EndpointBalancingState| {
             endpoint.entry.state == EndpointState::Removed && endpoint.in_flight.is_empty()
         };
--- a/src/decision/balancer/mod.rs
+++ b/src/decision/balancer/mod.rs
@@ -214,9 +214,9 @@
         }
     }
 
-    /// Records that a request was admitted: it has been passed on to an endpoint or waits for one.
-    pub fn request_launched(&mut self) {
-        self.slow_start.request_launched();
+    /// Records that a request was admitted: it has been sent to an endpoint or waits for one.
+    pub fn request_admitted(&mut self) {
+        self.slow_start.request_admitted();
         self.recovery_tests.deposit();
     }
 
@@ -322,9 +322,9 @@
         })
     }
 
-    /// Forgets removed endpoints that have no attempts in flight, and old traffic.
-    pub fn forget_removed(&mut self, now: Micros) {
-        self.endpoints.forget_removed(now);
+    /// Drops removed endpoints that have no attempts in flight, and old traffic.
+    pub fn drop_unneeded_state(&mut self, now: Micros) {
+        self.endpoints.drop_unneeded_state(now);
     }
 
     /// Returns the number of endpoints for which state is kept.
--- a/src/decision/balancer/outlier_detection.rs
+++ b/src/decision/balancer/outlier_detection.rs
@@ -8,10 +8,10 @@
 use crate::decision::{Micros, Outcome};
 
 /// Duration of the first ejection in microseconds. Each further ejection without a success in between is
-/// twice as long, up to the longest.
-const FIRST_EJECTION: Micros = 400_000;
-const LONGEST_EJECTION: Micros = 6_400_000;
-/// Upper bound of the number of doublings. The ejection time has reached the longest by then.
+/// twice as long, up to the maximum.
+const INITIAL_EJECTION: Micros = 400_000;
+const MAX_EJECTION: Micros = 6_400_000;
+/// Upper bound of the number of doublings. The ejection time has reached the maximum by then.
 const MAX_EJECTION_DOUBLINGS: u32 = 8;
 /// Consecutive connection resets eject an endpoint if the probability that as many occur by chance, at the
 /// fleet's share of resets, is below this value.
@@ -116,7 +116,7 @@
     /// long the first one would.
     pub(super) fn latest_ejection_time(&self) -> Micros {
         let doublings = self.consecutive_ejections.saturating_sub(1).min(MAX_EJECTION_DOUBLINGS);
-        (FIRST_EJECTION << doublings).min(LONGEST_EJECTION)
+        (INITIAL_EJECTION << doublings).min(MAX_EJECTION)
     }
 
     /// Returns whether the endpoint is unresponsive while requests wait: since its last response, the oldest
--- a/src/decision/balancer/recovery.rs
+++ b/src/decision/balancer/recovery.rs
@@ -40,7 +40,7 @@
 }
 
 impl RecoveryTestBudget {
-    /// Adds to the budget for a request that was passed on to an endpoint or waits for one.
+    /// Adds to the budget for a request that was sent to an endpoint or waits for one.
     pub fn deposit(&mut self) {
         self.saved_tests = (self.saved_tests + TESTS_PER_REQUEST).min(MAX_SAVED_TESTS);
     }
--- a/src/decision/balancer/slow_start.rs
+++ b/src/decision/balancer/slow_start.rs
@@ -32,7 +32,7 @@
     }
 
     /// Counts an admitted request: a warm endpoint was due its share of the request.
-    pub fn request_launched(&mut self) {
+    pub fn request_admitted(&mut self) {
         self.due_micro_requests += (MICROS_PER_SECOND / self.subset_capacity.max(1.0)) as u64;
     }
 
--- a/src/decision/deferral.rs
+++ b/src/decision/deferral.rs
@@ -1,10 +1,10 @@
-//! The deferral schedule (DSRT in docs/design.md): requests beyond quota are rejected with `Retry-After`
+//! The deferral schedule (DSRT in docs/design.md): requests over quota are rejected with `Retry-After`
 //! times that are spaced apart.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use super::estimators::MICROS_PER_SECOND;
-use super::quota::LocalUse;
+use super::quota::LocalUsage;
 use super::{AccountId, Micros, Plan};
 
 /// Maximum number of outstanding deferrals of one account: D in the DSRT paper.
@@ -51,9 +51,9 @@
     ///
     /// The spacing is the time in which this node draws the request's units again, at its recent rate or at
     /// its even share of the quota, whichever is greater. The horizon is the time in which a burst refills.
-    pub fn for_unit_quota(plan: &Plan, units: f64, local_use: &LocalUse) -> Self {
+    pub fn for_unit_quota(plan: &Plan, units: f64, local_usage: &LocalUsage) -> Self {
         let quota_rate = plan.quota_units_per_second;
-        let drawn_rate = local_use.drawn_rate.max(quota_rate / local_use.node_count);
+        let drawn_rate = local_usage.drawn_rate.max(quota_rate / local_usage.node_count);
         DeferralTerms {
             spacing: units / drawn_rate * MICROS_PER_SECOND,
             horizon: plan.burst_units / quota_rate * MICROS_PER_SECOND,
@@ -64,8 +64,8 @@
     ///
     /// The spacing is the mean time until one of this node's slots is free. `fleet_mean_latency` is in
     /// microseconds.
-    pub fn for_concurrency_quota(plan: &Plan, fleet_mean_latency: f64, local_use: &LocalUse) -> Self {
-        let local_slots = (plan.max_in_flight as f64 / local_use.node_count).max(1.0);
+    pub fn for_concurrency_quota(plan: &Plan, fleet_mean_latency: f64, local_usage: &LocalUsage) -> Self {
+        let local_slots = (plan.max_in_flight as f64 / local_usage.node_count).max(1.0);
         DeferralTerms {
             spacing: fleet_mean_latency / local_slots,
             horizon: fleet_mean_latency * plan.max_in_flight as f64,
--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -21,9 +21,9 @@
 /// A request of the least weight is shed if its expected response time exceeds this share of the latency
 /// objective. A greater share admits more requests, of which more are answered late. A smaller share sheds
 /// more requests early.
-pub(super) const LEAST_SHED_THRESHOLD: f64 = 0.25;
+pub(super) const MIN_SHED_THRESHOLD: f64 = 0.25;
 /// The same share for requests of the greatest weight.
-pub(super) const GREATEST_SHED_THRESHOLD: f64 = 0.48;
+pub(super) const MAX_SHED_THRESHOLD: f64 = 0.48;
 
 /// Detects overload by attempts in flight and by response times, both at healthy endpoints.
 #[derive(Default)]
@@ -114,7 +114,7 @@
     /// Returns the mean of recent response times in microseconds. It includes one sample of half the response
     /// time from which on requests of the least weight are shed.
     fn mean_response_time(&self, settings: &Settings, now: Micros) -> f64 {
-        let prior = shortest_latency_objective(settings) * LEAST_SHED_THRESHOLD / 2.0;
+        let prior = shortest_latency_objective(settings) * MIN_SHED_THRESHOLD / 2.0;
         self.response_times.with_prior(now, prior, RESPONSE_TIME_CONSTANT)
     }
 
@@ -139,7 +139,7 @@
         settings.classes.iter().map(|class| class.priority_weight).fold(MIN_WEIGHT, f64::max);
     let greatest_factor = settings.plans.iter().map(|plan| plan.weight_factor).fold(MIN_WEIGHT, f64::max);
     let relative_weight = class.priority_weight / greatest_weight * plan.weight_factor / greatest_factor;
-    Some(LEAST_SHED_THRESHOLD + (GREATEST_SHED_THRESHOLD - LEAST_SHED_THRESHOLD) * relative_weight)
+    Some(MIN_SHED_THRESHOLD + (MAX_SHED_THRESHOLD - MIN_SHED_THRESHOLD) * relative_weight)
 }
 
 /// Returns the number of attempts in flight that an endpoint is working on.
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -4,7 +4,7 @@
 //! [`DecisionEngine`] takes events, each with its time, and returns actions. It opens no socket and reads no
 //! clock. The modules `event`, `action` and `settings` define its input and output types. The normal path of
 //! a request follows DSRT (docs/design.md): a request within its account's quota draws units from this node's
-//! lease and is sent to an endpoint. A request beyond the quota is rejected with a `Retry-After` time; these
+//! lease and is sent to an endpoint. A request over quota is rejected with a `Retry-After` time; these
 //! times are spaced apart.
 //!
 //! Each submodule has its own state, and the engine passes values between them. Reading order: this file,
@@ -167,7 +167,7 @@
             return;
         }
         self.balancer.apply_update(kind, entries, self.now, &mut self.random);
-        self.forget_unneeded();
+        self.drop_unneeded_state();
     }
 
     fn on_response_started(&mut self, id: &RequestId) {
@@ -221,17 +221,17 @@
     fn sweep(&mut self, actions: &mut Vec<Action>) {
         self.swept_at = self.now;
         self.quota.release_unused_leases(&self.settings, self.now, actions);
-        self.forget_unneeded();
+        self.drop_unneeded_state();
         self.quota.drop_expired_calls(self.now);
     }
 
-    /// Dispatches the requests that wait for an endpoint again. A request that reaches its longest wait
+    /// Dispatches the requests that wait for an endpoint again. A request that reaches its maximum wait
     /// within two ticks is rejected or failed instead: a late rejection costs its client the time to go
     /// elsewhere.
     fn dispatch_waiting_requests(&mut self, actions: &mut Vec<Action>) {
         for id in self.pending.take_waiting_for_endpoint() {
             let Some(pending) = self.pending.get(&id) else { continue };
-            if self.now + 2 * TICK_INTERVAL >= pending.arrived_at + self.longest_wait(pending) {
+            if self.now + 2 * TICK_INTERVAL >= pending.arrived_at + self.max_wait(pending) {
                 self.reject_or_fail(&id, actions);
             } else {
                 self.dispatch(&id, actions);
@@ -241,16 +241,16 @@
 
     /// Returns how long a request may wait in all before its first attempt: its class's latency objective or
     /// half of the time that its client waits, whichever is shorter.
-    fn longest_wait(&self, pending: &PendingRequest) -> Micros {
+    fn max_wait(&self, pending: &PendingRequest) -> Micros {
         let objective = self.settings.classes[pending.request.class].latency_objective;
         let timeout = pending.request.deadline.saturating_sub(pending.arrived_at);
         objective.min(timeout / 2)
     }
 
     /// Drops the state of endpoints and accounts that is no longer needed.
-    fn forget_unneeded(&mut self) {
-        self.balancer.forget_removed(self.now);
-        self.quota.forget_idle_accounts(&self.settings, self.now);
+    fn drop_unneeded_state(&mut self) {
+        self.balancer.drop_unneeded_state(self.now);
+        self.quota.drop_idle_accounts(&self.settings, self.now);
         self.deferrals.retain_accounts(|account| self.quota.contains(account));
     }
 }
--- a/src/decision/quota/account.rs
+++ b/src/decision/quota/account.rs
@@ -12,7 +12,7 @@
 /// An account is kept for at least this long after its latest request.
 const ACCOUNT_LIFETIME: Micros = 6_000_000;
 /// An account that holds a lease is kept for this long after its latest request, so that the lease can be
-/// released before the account is forgotten.
+/// released before the account is dropped.
 const LEASED_ACCOUNT_LIFETIME: Micros = COUNTER_LIFETIME;
 
 /// A request that waits for a reply of the counter service.
@@ -104,11 +104,11 @@
         occupied_slots > slots.max(in_flight_elsewhere + 1.5)
     }
 
-    /// Returns whether the account can be forgotten without a loss: it has no work in flight, its bucket must
+    /// Returns whether the account can be dropped without a loss: it has no work in flight, its bucket must
     /// be full again, and its lease has been released, so that the counter's next reply provides the complete
-    /// state again. An account whose lease could not be released can be forgotten after
+    /// state again. An account whose lease could not be released can be dropped after
     /// [`LEASED_ACCOUNT_LIFETIME`].
-    pub fn can_be_forgotten(&self, plan: Option<&Plan>, now: Micros) -> bool {
+    pub fn can_be_dropped(&self, plan: Option<&Plan>, now: Micros) -> bool {
         let is_idle = self.attempts_in_flight == 0 && self.call.is_none() && self.queue.is_empty();
         let lifetime = if self.has_releasable_lease() {
             LEASED_ACCOUNT_LIFETIME
--- a/src/decision/quota/known_level.rs
+++ b/src/decision/quota/known_level.rs
@@ -15,7 +15,7 @@
     pub fn of(account: &Account, request: &QuotaRequest<'_>, now: Micros) -> Self {
         let queued_units = match request.stage {
             QuotaStage::OnArrival => account.queued_units(),
-            QuotaStage::AfterReply | QuotaStage::AfterLongestWait => 0.0,
+            QuotaStage::AfterReply | QuotaStage::AfterWaitLimit => 0.0,
         };
         BucketView { level: account.projected_level(request.plan, now), queued_units }
     }
@@ -31,7 +31,7 @@
     let Some(call) = &account.call else {
         let is_short =
             account.bucket.has_total() && bucket.level + account.lease - bucket.queued_units < request.units;
-        return is_short.then_some(QuotaDecision::BeyondQuota);
+        return is_short.then_some(QuotaDecision::OverQuota);
     };
     let lease_after_call = account.lease + call.lease_units.min(bucket.level).max(0.0);
     let level_after_call = bucket.level - call.lease_units.max(0.0);
@@ -40,6 +40,6 @@
     if will_cover && request.stage == QuotaStage::OnArrival {
         Some(QuotaDecision::Wait)
     } else {
-        Some(QuotaDecision::BeyondQuota)
+        Some(QuotaDecision::OverQuota)
     }
 }
--- a/src/decision/quota/mod.rs
+++ b/src/decision/quota/mod.rs
@@ -41,8 +41,8 @@
 pub(super) use counter_call::CounterReply;
 pub(super) use request::{QuotaDecision, QuotaRequest, QuotaStage};
 
-/// How an account uses its quota at this node.
-pub(super) struct LocalUse {
+/// The usage of an account's quota at this node.
+pub(super) struct LocalUsage {
     /// Rate at which units are drawn at this node, in units per second.
     pub drawn_rate: f64,
     /// Number of nodes that receive the account's requests.
@@ -129,10 +129,10 @@
             return QuotaDecision::Granted { drawn_units: request.units };
         }
         let Some(account) = self.accounts.get(&request.account) else {
-            return QuotaDecision::BeyondQuota;
+            return QuotaDecision::OverQuota;
         };
         let counter_is_available =
-            request.stage != QuotaStage::AfterLongestWait && self.counter_health.is_available(settings, now);
+            request.stage != QuotaStage::AfterWaitLimit && self.counter_health.is_available(settings, now);
         let bucket = BucketView::of(account, request, now);
         if counter_is_available {
             if let Some(decision) = decide_by_known_level(account, request, &bucket) {
@@ -174,7 +174,7 @@
         assessment: &Assessment,
     ) -> QuotaDecision {
         let Some(account) = self.accounts.get_mut(&request.account) else {
-            return QuotaDecision::BeyondQuota;
+            return QuotaDecision::OverQuota;
         };
         even_share::refill(account, request.plan, bucket.level, now);
         let has_failed_repeatedly = self.counter_health.has_failed_repeatedly();
@@ -184,7 +184,7 @@
             even_share::admit_unreported(account, request.units, now);
             return QuotaDecision::Granted { drawn_units: request.units };
         }
-        QuotaDecision::BeyondQuota
+        QuotaDecision::OverQuota
     }
 
     /// Queues a request until the counter's reply arrives.
@@ -238,10 +238,10 @@
         }
     }
 
-    /// Returns how the account uses its quota at this node, or `None` if the account is not kept.
-    pub fn local_use(&self, account: AccountId, now: Micros) -> Option<LocalUse> {
+    /// Returns the usage of the account's quota at this node, or `None` if the account is not kept.
+    pub fn local_usage(&self, account: AccountId, now: Micros) -> Option<LocalUsage> {
         let account = self.accounts.get(&account)?;
-        Some(LocalUse { drawn_rate: account.demand.drawn_rate(now), node_count: account.node_count })
+        Some(LocalUsage { drawn_rate: account.demand.drawn_rate(now), node_count: account.node_count })
     }
 
     /// Releases the leases of accounts that have had no request for longer than `idle_for`. Does nothing
@@ -272,10 +272,10 @@
         }
     }
 
-    /// Forgets the accounts that can be forgotten without a loss. New accounts keep arriving, so the retained
+    /// Drops the accounts that can be dropped without a loss. New accounts keep arriving, so the retained
     /// state would otherwise grow without bound.
-    pub fn forget_idle_accounts(&mut self, settings: &Settings, now: Micros) {
-        self.accounts.retain(|_, account| !account.can_be_forgotten(settings.plans.get(account.plan), now));
+    pub fn drop_idle_accounts(&mut self, settings: &Settings, now: Micros) {
+        self.accounts.retain(|_, account| !account.can_be_dropped(settings.plans.get(account.plan), now));
     }
 
     /// Drops timed-out calls whose late replies are of no use any more.
--- a/src/decision/quota/replies.rs
+++ b/src/decision/quota/replies.rs
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Gives back what a late reply granted beyond the bucket: by a call of its own, or by the next call if
-    /// one is in flight.
+    /// Gives back what a late reply granted beyond the bucket's level: by a call of its own, or by the next
+    /// call if one is in flight.
     fn return_late_excess(
         &mut self,
         id: AccountId,
--- a/src/decision/quota/request.rs
+++ b/src/decision/quota/request.rs
@@ -21,7 +21,7 @@
     /// was started since.
     AfterReply,
     /// After it has waited for the counter for the maximum time. It is decided without the counter.
-    AfterLongestWait,
+    AfterWaitLimit,
 }
 
 /// The decision of the quotas about a request.
@@ -34,5 +34,5 @@
     /// The request has to wait for the counter's reply.
     Wait,
     /// The request is over quota.
-    BeyondQuota,
+    OverQuota,
 }
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -64,9 +64,9 @@
     pub ceiling_slack_units: f64,
     /// Maximum number of attempts in flight at once; 0 means that there is no such quota.
     pub max_in_flight: u32,
-    /// Cost of admitting a request beyond quota, as a share of the request's weight.
+    /// Cost of admitting a request over quota, as a share of the request's weight.
     pub over_quota_cost: f64,
-    /// Value of serving a request beyond quota, as a share of the request's weight.
+    /// Value of serving a request over quota, as a share of the request's weight.
     pub over_quota_weight: f64,
     /// Factor that multiplies the weight of the plan's requests.
     pub weight_factor: f64,
