--- a/src/app.rs
+++ b/src/app.rs
@@ -176,7 +176,7 @@
         let polls_endpoint_list = self.polls_endpoint_list;
         let first_list = async move {
             if !polls_endpoint_list {
-                discovery.first_snapshot_received().await;
+                discovery.wait_for_first_snapshot().await;
             }
         };
         self.downstream.clone().accept(listener, first_list)
@@ -230,11 +230,11 @@
         accepting.is_finished()
             && !self.event_loop.has_waiting_clients()
             && self.budget.downstream_connections() == 0
-            && self.counter.is_settled()
+            && self.counter.has_no_open_calls()
     }
 }
 
-/// Returns the longest total time-out of all request classes, or zero if there is no class.
+/// Returns the longest total timeout of all request classes, or zero if there is no class.
 /// [`ShutdownSchedule`] treats values above 3 s as 3 s.
 fn longest_total_timeout(settings: &Settings) -> Duration {
     let longest = settings.classes.iter().map(|class| class.total_timeout).max();
@@ -262,7 +262,7 @@
     }
 
     fn apply(&self, services: &ServiceAddresses) {
-        self.discovery.move_to(&self.events, services.discovery);
-        self.counter.move_to(&self.events, services.counter);
+        self.discovery.set_address(&self.events, services.discovery);
+        self.counter.set_address(&self.events, services.counter);
     }
 }
--- a/src/net/counter/client.rs
+++ b/src/net/counter/client.rs
@@ -70,14 +70,15 @@
     }
 
     /// Returns whether the outcome of every call has been reported.
-    pub fn is_settled(&self) -> bool {
+    pub fn has_no_open_calls(&self) -> bool {
         self.open_calls.get() == 0
     }
 
-    /// Sends all further calls to the counter service at `address`. Calls in flight stay with the
-    /// previous address; queued calls are sent to the new one. With `None` queued calls fail with
-    /// [`Outcome::ConnectFailed`].
-    pub fn move_to(&self, events: &Rc<dyn EventSink>, address: Option<SocketAddr>) {
+    /// Sets the address of the counter service. Does nothing if it is the current one.
+    ///
+    /// Calls in flight stay with the previous address; queued calls are sent to the new one. With `None`
+    /// queued calls fail with [`Outcome::ConnectFailed`].
+    pub fn set_address(&self, events: &Rc<dyn EventSink>, address: Option<SocketAddr>) {
         if self.address.replace(address) == address {
             return;
         }
--- a/src/net/discovery/apply.rs
+++ b/src/net/discovery/apply.rs
@@ -150,7 +150,7 @@
 
     /// Waits until discovery has sent its first list or confirmed the known one. Returns at once if it has
     /// done so since the start.
-    pub async fn first_snapshot_received(&self) {
+    pub async fn wait_for_first_snapshot(&self) {
         // The wait cannot fail: `self` owns the sender.
         let _ = self.first_snapshot.subscribe().wait_for(|&is_received| is_received).await;
     }
--- a/src/net/discovery/schedule.rs
+++ b/src/net/discovery/schedule.rs
@@ -5,19 +5,19 @@
 use crate::net::discovery::backoff::Backoff;
 use crate::net::discovery::timeout::{FETCH_TIMEOUT, NOTIFIED_AFTER, RETRY_RESPONSE_TIME};
 
-/// Minimum of the first pause at a shared service.
+/// Minimum of the initial pause at a shared service.
 const MIN_SHARED_PAUSE: Duration = Duration::from_millis(20);
-/// The first pause after a failed call to an agent. A response of the agent costs nothing, and consecutive
+/// The initial pause after a failed call to an agent. A response of the agent costs nothing, and consecutive
 /// calls count as one uninterrupted watch while each of them arrives within 200 ms of the previous response.
-const AGENT_FIRST_PAUSE: Duration = Duration::from_millis(20);
-/// The longest pause after a failed call to an agent, before jitter.
+const AGENT_INITIAL_PAUSE: Duration = Duration::from_millis(20);
+/// The maximum pause after a failed call to an agent, before jitter.
 pub const AGENT_MAX_PAUSE: Duration = Duration::from_millis(160);
 /// The time that each node of the fleet adds to the spread of first calls, and of pauses after failed calls,
 /// at a shared service. The service has a fixed capacity and keeps working on calls whose callers have timed
 /// out. If all nodes call at once, and again as soon as their calls have failed, the service stays overloaded
-/// for ever.
+/// forever.
 const SPREAD_PER_NODE: Duration = Duration::from_millis(50);
-/// The ratio of the longest pause to the first one at a shared service.
+/// The ratio of the maximum pause to the initial one at a shared service.
 pub const MAX_PAUSE_FACTOR: u32 = 2;
 /// The longest delay of a first call: it leaves time for the response before [`NOTIFIED_AFTER`].
 const MAX_FIRST_CALL_DELAY: Duration = NOTIFIED_AFTER.saturating_sub(FETCH_TIMEOUT);
@@ -36,23 +36,24 @@
 }
 
 impl WatchSchedule {
-    /// Creates the schedule of one of `node_count` nodes. `is_shared` says that discovery is one service
-    /// shared by all nodes, and not an agent. The random delays and pauses are drawn with `seed`.
+    /// Creates the schedule of one of `node_count` nodes. `polls_endpoint_list` says that the nodes poll one
+    /// shared service; otherwise each node calls its own agent. The random delays and pauses are drawn with
+    /// `seed`.
     ///
     /// An agent is called without delay, for three reasons: a change that the agent holds and the node has
     /// missed counts against the node at once, the node may miss a drain during each pause in its watch, and
     /// no other node calls this agent.
-    pub fn new(seed: u64, node_count: u32, is_shared: bool) -> Self {
-        if !is_shared {
+    pub fn new(seed: u64, node_count: u32, polls_endpoint_list: bool) -> Self {
+        if !polls_endpoint_list {
             return WatchSchedule {
-                backoff: Backoff::new(seed, AGENT_FIRST_PAUSE, AGENT_MAX_PAUSE),
+                backoff: Backoff::new(seed, AGENT_INITIAL_PAUSE, AGENT_MAX_PAUSE),
                 max_first_call_delay: Duration::ZERO,
             };
         }
-        let first_pause = (SPREAD_PER_NODE * node_count).clamp(MIN_SHARED_PAUSE, NOTIFIED_AFTER);
+        let initial_pause = (SPREAD_PER_NODE * node_count).clamp(MIN_SHARED_PAUSE, NOTIFIED_AFTER);
         WatchSchedule {
-            backoff: Backoff::new(seed, first_pause, first_pause * MAX_PAUSE_FACTOR),
-            max_first_call_delay: first_pause.min(MAX_FIRST_CALL_DELAY),
+            backoff: Backoff::new(seed, initial_pause, initial_pause * MAX_PAUSE_FACTOR),
+            max_first_call_delay: initial_pause.min(MAX_FIRST_CALL_DELAY),
         }
     }
 
@@ -74,7 +75,7 @@
         self.limited_pause(MAX_PAUSE_BEFORE_FIRST_LIST)
     }
 
-    /// Restarts from the first pause, after a call that has succeeded.
+    /// Restarts from the initial pause, after a call that has succeeded.
     pub(super) fn reset(&mut self) {
         self.backoff.reset();
     }
@@ -87,6 +88,6 @@
             return pause;
         }
         let jitter = self.backoff.random_part_of(max_pause.mul_f64(JITTER_SHARE));
-        (max_pause - jitter).max(AGENT_FIRST_PAUSE / 2)
+        (max_pause - jitter).max(AGENT_INITIAL_PAUSE / 2)
     }
 }
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -69,10 +69,11 @@
         self.spawn_watch(events, delay);
     }
 
-    /// Continues with discovery at this address. Its versions are unrelated to those at the old address, so
-    /// its full list is requested first. The watch at the old address is aborted, and its responses are
-    /// dropped.
-    pub fn move_to(self: &Rc<Self>, events: &Rc<dyn EventSink>, address: SocketAddr) {
+    /// Sets the address of discovery. Does nothing if it is the current one.
+    ///
+    /// The versions at the new address are unrelated to those at the old one, so the full list is requested
+    /// first. The watch at the old address is aborted, and its responses are dropped.
+    pub fn set_address(self: &Rc<Self>, events: &Rc<dyn EventSink>, address: SocketAddr) {
         if self.client.address.replace(address) != address {
             self.applier.discovery_moved();
             self.spawn_watch(events, Duration::ZERO);
@@ -81,8 +82,8 @@
 
     /// Waits until discovery has sent its first list or confirmed the known one. Returns at once if it has
     /// done so since the start.
-    pub async fn first_snapshot_received(&self) {
-        self.applier.first_snapshot_received().await;
+    pub async fn wait_for_first_snapshot(&self) {
+        self.applier.wait_for_first_snapshot().await;
     }
 
     /// Starts one fetch of the full list. If the fetch fails and discovery has not moved meanwhile, the
--- a/src/net/upstream/known_endpoints.rs
+++ b/src/net/upstream/known_endpoints.rs
@@ -1,9 +1,9 @@
 //! The endpoints that attempts may be sent to, with their addresses.
 //!
-//! [`KnownEndpoints`] determines where an endpoint can be reached; the balancer's table determines which
-//! endpoints are selected. When discovery publishes a long list, it updates [`KnownEndpoints`] at once and
-//! the table in parts. The previous endpoints stay reachable until the decision engine has been notified of
-//! the last part.
+//! [`KnownEndpoints`] determines where an endpoint can be reached; the decision engine's table determines
+//! which endpoints are selected. When discovery publishes a long list, it updates [`KnownEndpoints`] at once
+//! and the table in parts. The previous endpoints stay reachable until the decision engine has been notified
+//! of the last part.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
     /// The endpoints of the previous list; set while the decision engine is being notified of a long list.
     ///
     /// Until the engine is notified that an endpoint was removed, it selects the endpoint. If the endpoint
-    /// could not be reached any more, the engine would treat it as failed.
+    /// could no longer be reached, the engine would treat it as failed.
     pub(super) previous: Option<Arc<Endpoints>>,
 }
 
@@ -36,7 +36,7 @@
     }
 
     /// Returns whether the current list contains an endpoint other than `id` at `address`.
-    pub(super) fn address_is_shared(&self, id: EndpointId, address: SocketAddr) -> bool {
+    pub(super) fn is_address_shared(&self, id: EndpointId, address: SocketAddr) -> bool {
         self.current.is_address_shared(id, address)
     }
 }
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -165,7 +165,7 @@
             let endpoint = known.get(id).filter(|endpoint| pool.leads_to(endpoint));
             // A new endpoint may be listed at the address of a removed one. The connections of this pool lead
             // to the removed one.
-            let is_kept = endpoint.is_some() && !known.address_is_shared(id, pool.address);
+            let is_kept = endpoint.is_some() && !known.is_address_shared(id, pool.address);
             if !is_kept || !endpoint.is_some_and(Endpoint::is_active) {
                 pool.close_idle();
             }
--- a/src/net/upstream/reuse.rs
+++ b/src/net/upstream/reuse.rs
@@ -46,8 +46,8 @@
     new_connections: Cell<EndedRequests>,
     /// The counts for reused connections, by the bucket of their idle time.
     by_idle_time: RefCell<[EndedRequests; IDLE_TIME_BUCKETS]>,
-    /// The index of the first bucket whose connections are not reused; those of all later buckets are not reused
-    /// either. [`IDLE_TIME_BUCKETS`] if there is no limit.
+    /// The index of the first bucket whose connections are not reused; those of all later buckets are not
+    /// reused either. [`IDLE_TIME_BUCKETS`] if there is no limit.
     limit: Cell<usize>,
 }
 
--- a/tests/endpoint_lists/publication.rs
+++ b/tests/endpoint_lists/publication.rs
@@ -44,7 +44,7 @@
         let known = Arc::downgrade(&node.endpoints());
         let sent = send(fetch, list_of_old_agent.clone());
         until_preparing(&known).await;
-        node.discovery.move_to(&node.events, new_agent.address);
+        node.discovery.set_address(&node.events, new_agent.address);
         until_prepared(&known).await;
         assert!(node.endpoints().is_empty(), "a list of the old agent was applied after the move");
         let list = ok_response(&snapshot(3, &all_up([1])).to_string());
@@ -153,7 +153,7 @@
     on_local_runtime(async {
         let node = Node::started(&agent);
         node.publish_first_part(&agent, 0, &list).await;
-        node.discovery.move_to(&node.events, new_agent.address);
+        node.discovery.set_address(&node.events, new_agent.address);
         let call = next_call(&new_agent).await;
         assert!(node.is_publishing(), "discovery should move between two parts");
         node.publish_remaining_parts().await;
