--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -3,8 +3,9 @@
 mod common;
 
 use common::{
-    counter_call, endpoint_entry, has_failure, rejection, settings_with_quota, settings_without_quota,
-    started_attempts, NodeUnderTest, StartedAttempt, KEYED, MILLISECOND, NON_IDEMPOTENT, SAFE, SECOND,
+    counter_call, endpoint_entry, first_retry_after, has_failure, settings_with_quota,
+    settings_without_quota, started_attempts, NodeUnderTest, StartedAttempt, KEYED, MILLISECOND,
+    NON_IDEMPOTENT, SAFE, SECOND,
 };
 use edge_node::decision::{
     AccountId, CounterKey, DeduplicationScope, EndpointId, EndpointState, EndpointUpdateKind, Event, Micros,
@@ -31,7 +32,7 @@
     let mut node = NodeUnderTest::new(settings_without_quota(), 2);
     node.update_endpoint(endpoint_entry(0, EndpointState::Draining, 0));
     for _ in 0..20 {
-        let attempt = node.request_started(SAFE);
+        let attempt = node.start_attempt(SAFE);
         assert_eq!(attempt.endpoint, EndpointId(1));
         node.complete(&attempt);
     }
@@ -39,14 +40,14 @@
         kind: EndpointUpdateKind::Snapshot,
         entries: vec![endpoint_entry(0, EndpointState::Active, 0)],
     });
-    let endpoint = node.request_started(SAFE).endpoint;
+    let endpoint = node.start_attempt(SAFE).endpoint;
     assert_eq!(endpoint, EndpointId(0), "an endpoint missing from a snapshot must get no attempt");
 }
 
 #[test]
 fn non_idempotent_request_that_may_have_run_fails_and_is_not_sent_again() {
     let mut node = NodeUnderTest::new(settings_without_quota(), 3);
-    let attempt = node.request_started(NON_IDEMPOTENT);
+    let attempt = node.start_attempt(NON_IDEMPOTENT);
     let actions = node.end_attempt(&attempt, 0, Outcome::Reset);
     assert!(started_attempts(&actions).is_empty() && has_failure(&actions));
 }
@@ -54,7 +55,7 @@
 #[test]
 fn non_idempotent_request_that_never_ran_gets_another_endpoint() {
     let mut node = NodeUnderTest::new(settings_without_quota(), 3);
-    let attempt = node.request_started(NON_IDEMPOTENT);
+    let attempt = node.start_attempt(NON_IDEMPOTENT);
     let retries = started_attempts(&node.end_attempt(&attempt, 0, Outcome::ConnectFailed));
     assert_eq!(retries.len(), 1);
     assert_ne!(retries[0].endpoint, attempt.endpoint);
@@ -63,7 +64,7 @@
 #[test]
 fn keyed_request_is_sent_again_within_its_cell_and_its_window() {
     let mut node = NodeUnderTest::new(settings_without_quota(), 6);
-    let attempt = node.request_started(KEYED);
+    let attempt = node.start_attempt(KEYED);
     let retries = started_attempts(&node.end_attempt(&attempt, 0, Outcome::Reset));
     assert_eq!(retries.len(), 1);
     assert_eq!(
@@ -80,11 +81,11 @@
 }
 
 #[test]
-fn keyed_request_is_not_sent_again_where_its_connection_may_come_up_after_the_window() {
+fn keyed_request_is_not_retried_if_connecting_may_outlast_the_window() {
     let cases = [(SECOND - 101 * MILLISECOND, true), (SECOND - 100 * MILLISECOND, false)];
     for (elapsed, is_sent_again) in cases {
         let mut node = NodeUnderTest::new(settings_without_quota(), 6);
-        let attempt = node.request_started(KEYED);
+        let attempt = node.start_attempt(KEYED);
         node.advance(elapsed);
         let actions = node.end_attempt(&attempt, 0, Outcome::Reset);
         assert_eq!(
@@ -105,20 +106,20 @@
         settings.classes[KEYED].deduplication_window = window;
         settings.limits.max_attempts = 1;
         let mut node = NodeUnderTest::new(settings, 2);
-        let attempt = node.request_started(KEYED);
+        let attempt = node.start_attempt(KEYED);
         let actions = node.end_attempt(&attempt, 0, Outcome::Reset);
-        assert_eq!(rejection(&actions).is_some(), is_rejected, "deduplication window of {window} us");
+        assert_eq!(first_retry_after(&actions).is_some(), is_rejected, "deduplication window of {window} us");
         assert_eq!(has_failure(&actions), !is_rejected, "deduplication window of {window} us");
     }
 }
 
 #[test]
-fn retry_that_comes_at_its_deadline_is_rejected_at_once() {
+fn retry_that_arrives_at_its_deadline_is_rejected_at_once() {
     let mut node = NodeUnderTest::new(settings_without_quota(), 2);
     let request =
         NewRequest { account_node_count: 1, is_retry: true, ..request_with_id("late", SAFE, node.now) };
     let actions = node.event(Event::RequestReceived(request));
-    assert!(started_attempts(&actions).is_empty() && rejection(&actions).is_some());
+    assert!(started_attempts(&actions).is_empty() && first_retry_after(&actions).is_some());
 }
 
 #[test]
@@ -131,7 +132,7 @@
     node.event(Event::ProbeCompleted { endpoint: EndpointId(99), outcome: Outcome::Ok });
     node.event(Event::CounterReplied { key: CounterKey(5), outcome: Outcome::Ok, total: 3.0 });
     node.event(Event::TimerFired { id: 77 });
-    let attempt = node.request_started(SAFE);
+    let attempt = node.start_attempt(SAFE);
     node.end_attempt(&attempt, 9, Outcome::Ok);
     node.end_attempt(&attempt, 0, Outcome::Ok);
     let actions = node.end_attempt(&attempt, 0, Outcome::TimedOut);
@@ -142,9 +143,9 @@
 fn request_without_an_endpoint_waits_and_is_then_rejected() {
     let mut node = NodeUnderTest::new(settings_without_quota(), 0);
     let actions = node.request(SAFE, 1.0).actions;
-    assert!(started_attempts(&actions).is_empty() && rejection(&actions).is_none());
+    assert!(started_attempts(&actions).is_empty() && first_retry_after(&actions).is_none());
     node.advance(600 * MILLISECOND);
-    assert!(rejection(&node.tick()).is_some());
+    assert!(first_retry_after(&node.fire_timer()).is_some());
 }
 
 /// Guards against sending a request twice. A client that disconnects may use the id of its waiting request
@@ -164,7 +165,7 @@
             None => Vec::new(),
         };
         node.update_endpoint(endpoint_entry(9, EndpointState::Active, 0));
-        actions.extend(node.tick());
+        actions.extend(node.fire_timer());
         assert_eq!(started_attempts(&actions).len(), 1, "attempts with {endpoint_count} endpoints");
     }
 }
@@ -172,7 +173,7 @@
 /// Guards against sending a request twice. A request that waits for an endpoint does not keep its account's
 /// state. If that state is dropped, the request must still leave the queue when its client disconnects.
 #[test]
-fn id_used_again_after_its_account_was_forgotten_is_sent_once() {
+fn reused_id_is_sent_once_after_account_state_was_dropped() {
     let mut settings = settings_without_quota();
     settings.classes[NON_IDEMPOTENT].latency_objective = 30 * SECOND;
     let mut node = NodeUnderTest::new(settings, 0);
@@ -180,15 +181,15 @@
     node.event(Event::RequestReceived(request.clone()));
     for _ in 0..400 {
         node.advance(20 * MILLISECOND);
-        node.tick();
+        node.fire_timer();
     }
     assert_eq!(
-        node.node.retained_entries().accounts,
+        node.engine.retained_entries().accounts,
         0,
         "a request that waits for an endpoint must not keep its account"
     );
     node.event(Event::ClientDisconnected { request: "again".into() });
     node.event(Event::RequestReceived(request));
     node.update_endpoint(endpoint_entry(9, EndpointState::Active, 0));
-    assert_eq!(started_attempts(&node.tick()).len(), 1);
+    assert_eq!(started_attempts(&node.fire_timer()).len(), 1);
 }
--- a/tests/balancer_scaling.rs
+++ b/tests/balancer_scaling.rs
@@ -21,7 +21,7 @@
 
 fn node_with_seed(seed: u64, settings: Settings, entries: Vec<EndpointEntry>) -> NodeUnderTest {
     let mut node = NodeUnderTest::new(settings.clone(), 0);
-    node.node = DecisionEngine::new(seed, settings);
+    node.engine = DecisionEngine::new(seed, settings);
     node.event(Event::EndpointsUpdated { kind: EndpointUpdateKind::Snapshot, entries });
     node
 }
@@ -53,7 +53,7 @@
     let mut to_small = 0;
     for _ in 0..200 {
         node.advance(200 * MILLISECOND);
-        let attempt = node.request_started(SAFE);
+        let attempt = node.start_attempt(SAFE);
         to_small += usize::from(attempt.endpoint.0 >= 2);
         node.complete(&attempt);
     }
@@ -71,7 +71,7 @@
     for number in 0..300 {
         node.advance(100 * MILLISECOND);
         let class = if number % 2 == 0 { NON_IDEMPOTENT } else { SAFE };
-        let attempt = node.request_started(class);
+        let attempt = node.start_attempt(class);
         let is_at_failing_endpoint = attempt.endpoint.0 >= 2;
         let fails = class == NON_IDEMPOTENT && is_at_failing_endpoint;
         node.end_attempt(&attempt, 0, if fails { Outcome::Error } else { Outcome::Ok });
@@ -102,7 +102,7 @@
         let mut node = node_with_seed(seed, settings, entries);
         for _ in 0..5 {
             node.advance(200 * MILLISECOND);
-            let attempt = node.request_started(SAFE);
+            let attempt = node.start_attempt(SAFE);
             to_warming += usize::from(attempt.endpoint == EndpointId(3));
             node.complete(&attempt);
         }
@@ -131,12 +131,12 @@
         // The node gets six requests a second and has one in flight at any time.
         for _ in 0..36 {
             node.advance(167 * MILLISECOND);
-            let attempt = node.request_started(SAFE);
+            let attempt = node.start_attempt(SAFE);
             to_all += 1;
             to_warming += usize::from(is_warming(attempt.endpoint.0));
             in_flight.push_back(attempt);
             if in_flight.len() > 1 {
-                let oldest = in_flight.pop_front().expect("an attempt in flight");
+                let oldest = in_flight.pop_front().expect("expected an attempt in flight, got none");
                 node.complete(&oldest);
             }
         }
@@ -157,7 +157,7 @@
     let mut received = 0;
     for _ in 0..400 {
         node.advance(150 * MILLISECOND);
-        let attempt = node.request_started(SAFE);
+        let attempt = node.start_attempt(SAFE);
         received += u32::from(attempt.endpoint == failing);
         // The endpoint never answers the first of every two requests, and the client disconnects.
         let is_unanswered = attempt.endpoint == failing && received % 2 == 1;
@@ -183,7 +183,7 @@
     let mut in_use = BTreeSet::new();
     for _ in 0..200 {
         node.advance(100 * MILLISECOND);
-        let attempt = node.request_started(SAFE);
+        let attempt = node.start_attempt(SAFE);
         in_use.insert(attempt.endpoint.0);
         let fails = has_failures && (3..9).contains(&attempt.endpoint.0);
         node.end_attempt(&attempt, 0, if fails { Outcome::ConnectFailed } else { Outcome::Ok });
@@ -235,7 +235,7 @@
         // on a full fleet sheds load.
         node.advance(400 * MILLISECOND);
         end_after(&mut node, &attempt, Outcome::Ok, 400 * MILLISECOND);
-        node.tick();
+        node.fire_timer();
     }
     assert_eq!(rejected, 0, "rejected of 8 requests that were sent one at a time to an idle fleet");
 }
--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn client_disconnect_is_detected_behind_unread_bytes_of_a_further_request() {
+fn client_disconnect_is_detected_despite_unread_bytes_of_a_further_request() {
     // The node does not read the bytes after a request before its response, and the end of the stream is
     // after them.
     for bytes_behind in [0, 30, 60_000] {
@@ -147,7 +147,7 @@
     let edge = NodeConfiguration::new(&[active("s-1", old_endpoint.address)])
         .discovery(discovery.address)
         .connect_timeout(UNLIMITED_CONNECT_MICROS)
-        .descriptors(40)
+        .max_descriptors(40)
         .start();
     // An attempt in flight continues after its client has disconnected, and holds a descriptor.
     let mut in_flight = Vec::new();
@@ -190,7 +190,7 @@
         let endpoint = FakeEndpoint::start();
         let edge = NodeConfiguration::new(&[active("s-1", endpoint.address)])
             .connect_timeout(UNLIMITED_CONNECT_MICROS)
-            .descriptors(40)
+            .max_descriptors(40)
             .start();
         let texts = from_fn(|number| without_time_limit("post", &format!("p-{number}")).text());
         let mut busy_clients: [Client; 9] = edge.connect_having_sent(texts);
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn endpoint_that_starts_draining_while_a_connection_to_it_comes_up_gets_no_request() {
+fn endpoint_that_starts_draining_while_a_connection_to_it_is_opened_gets_no_request() {
     let full_endpoint = FullBacklogEndpoint::new();
     let second_endpoint = FakeEndpoint::start();
     let discovery = FakeDiscovery::start();
--- a/tests/closing_connections.rs
+++ b/tests/closing_connections.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn request_unread_as_its_idle_connection_closes_is_served_with_a_close() {
+fn unread_request_on_a_closing_idle_connection_is_served_with_connection_close() {
     run(async {
         let server = Server::start().await;
         let mut client = server.idle_client().await;
--- a/tests/common/actions.rs
+++ b/tests/common/actions.rs
@@ -11,16 +11,16 @@
 
 /// A call that the node made to the counter service.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct CounterCall {
+pub struct CounterIncrement {
     pub key: CounterKey,
     /// Units to add; negative to give units back.
     pub amount: f64,
 }
 
 /// Returns the first call to the counter service among the actions. Returns `None` if there is none.
-pub fn counter_call(actions: &[Action]) -> Option<CounterCall> {
+pub fn counter_call(actions: &[Action]) -> Option<CounterIncrement> {
     actions.iter().find_map(|action| match action {
-        Action::IncrementCounter { key, amount, .. } => Some(CounterCall { key: *key, amount: *amount }),
+        Action::IncrementCounter { key, amount, .. } => Some(CounterIncrement { key: *key, amount: *amount }),
         _ => None,
     })
 }
@@ -38,7 +38,7 @@
 
 /// Returns the `Retry-After` time of the first rejection among the actions, in microseconds; 0 if the
 /// rejection gives no time. Returns `None` if no request was rejected.
-pub fn rejection(actions: &[Action]) -> Option<Micros> {
+pub fn first_retry_after(actions: &[Action]) -> Option<Micros> {
     actions.iter().find_map(|action| match action {
         Action::Reject { retry_after, .. } => Some(*retry_after),
         _ => None,
--- a/tests/common/fake_counter.rs
+++ b/tests/common/fake_counter.rs
@@ -1,4 +1,4 @@
-//! A fake counter service that tests call directly, without a socket.
+//! A counter service in memory that tests call directly, without a socket.
 
 use std::collections::BTreeMap;
 
@@ -7,13 +7,13 @@
 use super::actions::counter_call;
 use super::node::NodeUnderTest;
 
-/// The totals of a fake counter service, in units.
+/// The totals of a counter service in memory, in units.
 #[derive(Default)]
-pub struct FakeCounter {
+pub struct InMemoryCounter {
     totals: BTreeMap<CounterKey, f64>,
 }
 
-impl FakeCounter {
+impl InMemoryCounter {
     /// Adds `amount` to a counter and returns its new total. A counter starts at 0.
     pub fn add(&mut self, key: CounterKey, amount: f64) -> f64 {
         let total = self.totals.entry(key).or_default();
@@ -22,7 +22,7 @@
     }
 
     /// Deletes all counters, as a restart of the service does.
-    pub fn flush(&mut self) {
+    pub fn delete_all(&mut self) {
         self.totals.clear();
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,8 +8,10 @@
 
 use edge_node::decision::Micros;
 
-pub use actions::{counter_call, has_failure, rejection, started_attempts, CounterCall, StartedAttempt};
-pub use fake_counter::FakeCounter;
+pub use actions::{
+    counter_call, first_retry_after, has_failure, started_attempts, CounterIncrement, StartedAttempt,
+};
+pub use fake_counter::InMemoryCounter;
 pub use node::{endpoint_entry, NodeUnderTest};
 pub use settings::{request_class, settings_with_quota, settings_without_quota, KEYED, NON_IDEMPOTENT, SAFE};
 
--- a/tests/common/node.rs
+++ b/tests/common/node.rs
@@ -5,7 +5,7 @@
     EndpointUpdateKind, Event, Micros, NewRequest, Outcome, RequestId, Settings,
 };
 
-use super::actions::{started_attempts, CounterCall, StartedAttempt};
+use super::actions::{started_attempts, CounterIncrement, StartedAttempt};
 use super::{MILLISECOND, SECOND};
 
 /// A request of account 7 that was sent to the node, and the actions that the node returned for it.
@@ -19,7 +19,7 @@
     /// The time of the node's clock. It starts at 100 s.
     pub now: Micros,
     /// The decision engine of the node.
-    pub node: DecisionEngine,
+    pub engine: DecisionEngine,
     /// Number of requests sent so far; the number of a request is part of its id.
     request_count: u32,
 }
@@ -28,7 +28,7 @@
     /// Starts a node whose endpoint list has `endpoint_count` endpoints, all of them active and warm.
     pub fn new(settings: Settings, endpoint_count: u32) -> NodeUnderTest {
         let mut node =
-            NodeUnderTest { now: 100 * SECOND, node: DecisionEngine::new(5, settings), request_count: 0 };
+            NodeUnderTest { now: 100 * SECOND, engine: DecisionEngine::new(5, settings), request_count: 0 };
         let entries = (0..endpoint_count).map(|id| endpoint_entry(id, EndpointState::Active, 0)).collect();
         node.event(Event::EndpointsUpdated { kind: EndpointUpdateKind::Snapshot, entries });
         node
@@ -37,7 +37,7 @@
     /// Passes an event to the node at the current time and returns the resulting actions.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.node.handle(self.now, event, &mut actions);
+        self.engine.handle(self.now, event, &mut actions);
         actions
     }
 
@@ -47,7 +47,7 @@
     }
 
     /// Fires timer 0 and returns the resulting actions.
-    pub fn tick(&mut self) -> Vec<Action> {
+    pub fn fire_timer(&mut self) -> Vec<Action> {
         self.event(Event::TimerFired { id: 0 })
     }
 
@@ -85,7 +85,7 @@
 
     /// Sends the node a request of one unit and returns its attempt. Panics if the node does not start an
     /// attempt at once.
-    pub fn request_started(&mut self, class: usize) -> StartedAttempt {
+    pub fn start_attempt(&mut self, class: usize) -> StartedAttempt {
         started_attempts(&self.request(class, 1.0).actions).pop().expect("the node started no attempt")
     }
 
@@ -110,7 +110,7 @@
 
     /// Ends a call to the counter service and returns the resulting actions. `total` is the counter's total
     /// after the call, in units.
-    pub fn end_counter_call(&mut self, call: CounterCall, outcome: Outcome, total: f64) -> Vec<Action> {
+    pub fn end_counter_call(&mut self, call: CounterIncrement, outcome: Outcome, total: f64) -> Vec<Action> {
         self.event(Event::CounterReplied { key: call.key, outcome, total })
     }
 }
--- a/tests/connection_close_races.rs
+++ b/tests/connection_close_races.rs
@@ -84,7 +84,7 @@
         assert_eq!(response.body, partial.id.as_bytes());
         assert_eq!(response.header("connection"), Some("close"));
     }
-    assert!(edge.wait_for_end().status.success());
+    assert!(edge.wait_for_exit().status.success());
 }
 
 #[test]
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn keyed_request_that_may_have_run_is_not_repeated_where_connecting_may_outlast_the_deduplication_window() {
+fn keyed_request_that_may_have_run_is_not_retried_if_connecting_may_outlast_the_deduplication_window() {
     let endpoint = FakeEndpoint::start();
     // The deduplication window is still open when the connection breaks, but no longer at the latest time at
     // which a new connection may be established.
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn keyed_request_is_not_repeated_past_its_window_where_the_settings_name_no_time_for_connecting() {
+fn keyed_request_is_not_retried_after_its_window_if_the_settings_have_no_connect_timeout() {
     let endpoint = FakeEndpoint::start();
     // The window is shorter than the default connect timeout, and long enough for the connection to break
     // within it.
@@ -259,7 +259,7 @@
         assert_eq!(response.body, b"first");
         assert_eq!(response.header("connection"), Some("close"));
         assert_eq!(client.read_to_end(), "");
-        assert!(edge.wait_for_end().status.success());
+        assert!(edge.wait_for_exit().status.success());
         endpoint.assert_no_request();
     }
 }
--- a/tests/counter_backoff.rs
+++ b/tests/counter_backoff.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
-use common::{counter_call, settings_with_quota, CounterCall, NodeUnderTest, MILLISECOND, SAFE, SECOND};
+use common::{counter_call, settings_with_quota, CounterIncrement, NodeUnderTest, MILLISECOND, SAFE, SECOND};
 use edge_node::decision::{AccountId, Action, Event, Micros, NewRequest, Outcome};
 
 /// Upper bounds of the pause, in microseconds: after one failure, and after many consecutive failures.
-const FIRST_PAUSE: Micros = 50 * MILLISECOND;
-const LONGEST_PAUSE: Micros = 800 * MILLISECOND;
+const INITIAL_PAUSE: Micros = 50 * MILLISECOND;
+const MAX_PAUSE: Micros = 800 * MILLISECOND;
 /// Number of calls that are in flight at once, each for a different account.
 const ACCOUNTS: u64 = 8;
 
@@ -28,13 +28,13 @@
 }
 
 /// Starts concurrent calls, one for each of [`ACCOUNTS`] accounts from `first` on.
-fn start_calls(node: &mut NodeUnderTest, first: u64) -> Vec<CounterCall> {
+fn start_calls(node: &mut NodeUnderTest, first: u64) -> Vec<CounterIncrement> {
     (first..first + ACCOUNTS)
-        .map(|account| counter_call(&send_first_request(node, account)).expect("a call to the counter"))
+        .map(|account| counter_call(&send_first_request(node, account)).expect("expected a counter call"))
         .collect()
 }
 
-fn time_out(node: &mut NodeUnderTest, calls: Vec<CounterCall>) {
+fn time_out(node: &mut NodeUnderTest, calls: Vec<CounterIncrement>) {
     for call in calls {
         node.end_counter_call(call, Outcome::TimedOut, 0.0);
     }
@@ -46,10 +46,10 @@
     let calls = start_calls(&mut node, 1);
     node.advance(30 * MILLISECOND);
     time_out(&mut node, calls);
-    node.advance(FIRST_PAUSE);
+    node.advance(INITIAL_PAUSE);
     assert!(
         any_request_leads_to_call(&mut node, 100),
-        "expected a call {FIRST_PAUSE} us after concurrent failures, but calls are still paused"
+        "expected a call {INITIAL_PAUSE} us after concurrent failures, but calls are still paused"
     );
 }
 
@@ -72,8 +72,8 @@
         node.end_counter_call(call, Outcome::TimedOut, 0.0);
     }
     assert_eq!(pauses[0], 0, "expected no pause before the first failure");
-    assert!(pauses[1] <= FIRST_PAUSE, "the pause after one failure is too long: {pauses:?}");
-    assert!(pauses[7] >= LONGEST_PAUSE / 2, "the pause after seven failures is too short: {pauses:?}");
+    assert!(pauses[1] <= INITIAL_PAUSE, "the pause after one failure is too long: {pauses:?}");
+    assert!(pauses[7] >= MAX_PAUSE / 2, "the pause after seven failures is too short: {pauses:?}");
 }
 
 /// Returns whether a request of any of these accounts leads to a call. It is random which of them call.
--- a/tests/counter_waits.rs
+++ b/tests/counter_waits.rs
@@ -3,20 +3,20 @@
 mod common;
 
 use common::{
-    counter_call, settings_with_quota, started_attempts, CounterCall, NodeUnderTest, StartedAttempt,
+    counter_call, settings_with_quota, started_attempts, CounterIncrement, NodeUnderTest, StartedAttempt,
     MILLISECOND, SAFE,
 };
 use edge_node::decision::{Action, Micros, Outcome};
 
-/// Time-out of a counter call in the settings of these tests.
+/// Timeout of a counter call in the settings of these tests.
 const COUNTER_TIMEOUT: Micros = 30 * MILLISECOND;
 const TICK: Micros = 20 * MILLISECOND;
-/// A request is decided within this time: three time-outs, and the tick that detects the last one.
-const LONGEST_WAIT: Micros = 3 * COUNTER_TIMEOUT + TICK;
+/// A request is decided within this time: three timeouts, and the tick that detects the last one.
+const MAX_WAIT: Micros = 3 * COUNTER_TIMEOUT + TICK;
 
 /// Ends the first call and all that follow it immediately, up to a limit, with `outcome`. Returns all
 /// actions.
-fn end_all_calls(node: &mut NodeUnderTest, first: Option<CounterCall>, outcome: Outcome) -> Vec<Action> {
+fn end_all_calls(node: &mut NodeUnderTest, first: Option<CounterIncrement>, outcome: Outcome) -> Vec<Action> {
     let mut all_actions = Vec::new();
     let mut next = first;
     for _ in 0..100 {
@@ -36,14 +36,14 @@
     let mut call = counter_call(&node.request(SAFE, 1.0).actions);
     assert!(call.is_some(), "expected the first request of an account to call the counter");
     let mut actions = Vec::new();
-    while node.now < sent_at + LONGEST_WAIT {
+    while node.now < sent_at + MAX_WAIT {
         if let Some(call) = call.take() {
             node.advance(call_time);
             actions.extend(node.end_counter_call(call, outcome, 0.0));
         } else {
             node.advance(TICK);
         }
-        actions.extend(node.tick());
+        actions.extend(node.fire_timer());
         call = counter_call(&actions);
         if let Some(attempt) = started_attempts(&actions).pop() {
             return Some(attempt);
@@ -77,10 +77,10 @@
     let mut node = NodeUnderTest::new(settings_with_quota(), 2);
     let actions = node.request(SAFE, 1.0).actions;
     assert!(counter_call(&actions).is_some() && started_attempts(&actions).is_empty());
-    node.advance(LONGEST_WAIT);
-    assert_eq!(started_attempts(&node.tick()).len(), 1);
+    node.advance(MAX_WAIT);
+    assert_eq!(started_attempts(&node.fire_timer()).len(), 1);
     // The request has left the queue, so the reply that arrives later does not start a second attempt.
-    let call = counter_call(&actions).expect("a call to the counter");
+    let call = counter_call(&actions).expect("expected a counter call");
     let late = node.end_counter_call(call, Outcome::Ok, call.amount);
     assert!(started_attempts(&late).is_empty());
 }
--- a/tests/descriptor_budget.rs
+++ b/tests/descriptor_budget.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn partial_request_gives_way_once_it_is_due_and_before_connections_in_use() {
+fn evictable_partial_request_is_aborted_before_used_idle_connections() {
     let budget = DescriptorBudget::new(RESERVED_DESCRIPTORS + 20);
     let now = Instant::now();
     let due = Rc::new(Notify::new());
--- a/tests/descriptor_exhaustion.rs
+++ b/tests/descriptor_exhaustion.rs
@@ -23,7 +23,7 @@
     let edge = NodeConfiguration::new(&[active("s-1", old_endpoint.address)])
         .discovery(discovery.address)
         .counter(counter.address)
-        .descriptors(40)
+        .max_descriptors(40)
         .start();
     // Each request in flight holds one descriptor downstream and one upstream.
     let mut busy_clients: Vec<Client> = (0..5).map(|_| edge.connect()).collect();
@@ -42,7 +42,7 @@
     let discovery = FakeEndpoint::with_listener(discovery.listen());
     let counter = FakeCounter::with_listener(counter.listen());
     let list = json!({"index": 7, "snapshot": true, "endpoints": [active("s-2", new_endpoint.address)]});
-    let list_applied = |call: &ReceivedRequest| call.message.first.contains("after=7&");
+    let list_applied = |call: &ReceivedRequest| call.message.start_line.contains("after=7&");
     let mut call = discovery.next_request();
     while !list_applied(&call) {
         call.respond_ok(&list.to_string());
--- a/tests/endpoint_health.rs
+++ b/tests/endpoint_health.rs
@@ -17,7 +17,7 @@
     let mut total = 0;
     for _ in 0..150 {
         node.advance(10 * MILLISECOND);
-        let attempt = node.request_started(SAFE);
+        let attempt = node.start_attempt(SAFE);
         total += 1;
         to_warming_up += usize::from(attempt.endpoint == EndpointId(3));
         node.complete(&attempt);
@@ -37,8 +37,8 @@
     let mut to_unresponsive = 0;
     for step in 0..400 {
         node.advance(10 * MILLISECOND);
-        node.tick();
-        let attempt = node.request_started(SAFE);
+        node.fire_timer();
+        let attempt = node.start_attempt(SAFE);
         if attempt.endpoint == EndpointId(2) {
             to_unresponsive += usize::from(step >= 200);
         } else {
@@ -57,8 +57,8 @@
     let mut to_failed = 0;
     for step in 0..600 {
         node.advance(10 * MILLISECOND);
-        node.tick();
-        let attempt = node.request_started(SAFE);
+        node.fire_timer();
+        let attempt = node.start_attempt(SAFE);
         let is_failed = step >= 300 && attempt.endpoint == EndpointId(1);
         to_failed += usize::from(is_failed);
         let outcome = if is_failed || step % 8 == 0 { Outcome::Reset } else { Outcome::Ok };
@@ -77,16 +77,16 @@
     let mut node = NodeUnderTest::new(settings_without_quota(), 2);
     for _ in 0..50 {
         node.advance(20 * MILLISECOND);
-        let attempt = node.request_started(SAFE);
+        let attempt = node.start_attempt(SAFE);
         node.complete(&attempt);
     }
     // Sends non-idempotent requests, whose attempts never end, until one goes to endpoint 1.
-    while node.request_started(NON_IDEMPOTENT).endpoint != EndpointId(1) {}
+    while node.start_attempt(NON_IDEMPOTENT).endpoint != EndpointId(1) {}
     let mut to_recovered = 0;
     for _ in 0..75 {
         node.advance(20 * MILLISECOND);
-        node.tick();
-        let attempt = node.request_started(SAFE);
+        node.fire_timer();
+        let attempt = node.start_attempt(SAFE);
         to_recovered += usize::from(attempt.endpoint == EndpointId(1));
         node.complete(&attempt);
     }
--- a/tests/endpoint_lists/node.rs
+++ b/tests/endpoint_lists/node.rs
@@ -170,12 +170,12 @@
 
 /// Returns whether a call is a watch from this version.
 pub fn is_watch_from(call: &ReceivedRequest, version: u64) -> bool {
-    call.message.first.contains(&format!("after={version}&"))
+    call.message.start_line.contains(&format!("after={version}&"))
 }
 
 /// Returns whether a call requests the full list.
 pub fn is_fetch(call: &ReceivedRequest) -> bool {
-    !call.message.first.contains("after=")
+    !call.message.start_line.contains("after=")
 }
 
 /// Returns the agent's next call if it has arrived and is a watch from this version.
--- a/tests/endpoint_lists/process.rs
+++ b/tests/endpoint_lists/process.rs
@@ -38,11 +38,11 @@
     let watch_to = format!("after={to_version}&");
     loop {
         let call = agent.next_request();
-        if call.message.first.contains(&watch_to) {
+        if call.message.start_line.contains(&watch_to) {
             let unchanged = json!({"index": to_version, "snapshot": false, "endpoints": []}).to_string();
             return call.send_raw(ok_response(&unchanged).as_bytes());
         }
-        if call.message.first.contains(&watch_from) {
+        if call.message.start_line.contains(&watch_from) {
             call.send_raw(ok_response(list).as_bytes());
         }
     }
@@ -90,7 +90,7 @@
     let list = snapshot(3, &[active("s-2", new.address)]).to_string();
     loop {
         let call = new_agent.next_request();
-        if call.message.first.contains("after=3&") {
+        if call.message.start_line.contains("after=3&") {
             break;
         }
         call.send_raw(ok_response(&list).as_bytes());
--- a/tests/endpoint_recovery.rs
+++ b/tests/endpoint_recovery.rs
@@ -13,9 +13,9 @@
 /// The time between two requests, which gives 50 requests a second.
 const REQUEST_INTERVAL: Micros = 20 * MILLISECOND;
 /// The longest duration of an ejection.
-const LONGEST_EJECTION: Micros = 6_400 * MILLISECOND;
+const MAX_EJECTION: Micros = 6_400 * MILLISECOND;
 /// The longest time for which an endpoint is reserved for safer requests after its ejection.
-const LONGEST_WAIT_FOR_SAFER_REQUESTS: Micros = LONGEST_EJECTION;
+const MAX_WAIT_FOR_SAFER_REQUESTS: Micros = MAX_EJECTION;
 
 /// The result of an attempt.
 struct AttemptResult {
@@ -55,7 +55,7 @@
                 return;
             }
             self.node.advance(REQUEST_INTERVAL);
-            let mut actions = self.node.tick();
+            let mut actions = self.node.fire_timer();
             actions.extend(self.node.request(class, 1.0).actions);
             self.end_attempts(class, started_attempts(&actions), &is_faulty);
         }
@@ -109,19 +109,19 @@
         let mut fleet = Fleet::start();
         fleet.run(3 * SECOND, classes, |_| true);
         let fault_ended_at = fleet.elapsed();
-        fleet.run(2 * LONGEST_EJECTION, classes, |_| false);
+        fleet.run(2 * MAX_EJECTION, classes, |_| false);
         let first_served = fleet
             .ended
             .iter()
             .find(|ended| ended.succeeded)
-            .expect("an attempt that succeeded after the fault");
+            .expect("expected an attempt that succeeded after the fault, got none");
         assert!(
             first_served.at <= fault_ended_at + SECOND,
             "classes {classes:?}: first success {} us after the start; expected within 1 s after the fault",
             first_served.at
         );
         assert_eq!(
-            fleet.serving(fault_ended_at + LONGEST_EJECTION).len(),
+            fleet.serving(fault_ended_at + MAX_EJECTION).len(),
             4,
             "endpoints that serve again, classes {classes:?}"
         );
@@ -134,7 +134,7 @@
         let mut fleet = Fleet::start();
         fleet.run(3 * SECOND, classes, is_first_half);
         let fault_ended_at = fleet.elapsed();
-        let longest = LONGEST_EJECTION + LONGEST_WAIT_FOR_SAFER_REQUESTS;
+        let longest = MAX_EJECTION + MAX_WAIT_FOR_SAFER_REQUESTS;
         fleet.run(2 * longest, classes, |_| false);
         assert_eq!(
             fleet.serving(fault_ended_at + longest).len(),
@@ -172,7 +172,7 @@
     let minutes = 2;
     fleet.run(minutes * 60 * SECOND, &[NON_IDEMPOTENT], is_first_half);
     let failed = u64::from(fleet.failed[&NON_IDEMPOTENT] - failed_at_first);
-    let tests_of_each = minutes * 60 * SECOND / (LONGEST_EJECTION + LONGEST_WAIT_FOR_SAFER_REQUESTS) + 1;
+    let tests_of_each = minutes * 60 * SECOND / (MAX_EJECTION + MAX_WAIT_FOR_SAFER_REQUESTS) + 1;
     assert!(
         (1..=2 * tests_of_each).contains(&failed),
         "{failed} of {} requests failed; expected at least 1 and at most the tests of two endpoints",
@@ -224,16 +224,16 @@
 #[test]
 fn recovering_endpoint_takes_one_non_idempotent_request_at_a_time() {
     let mut node = NodeUnderTest::new(settings_without_quota(), 1);
-    let first = node.request_started(NON_IDEMPOTENT);
+    let first = node.start_attempt(NON_IDEMPOTENT);
     node.end_attempt(&first, 0, Outcome::ConnectFailed);
-    node.advance(LONGEST_EJECTION);
-    node.tick();
-    let test = node.request_started(NON_IDEMPOTENT);
+    node.advance(MAX_EJECTION);
+    node.fire_timer();
+    let test = node.start_attempt(NON_IDEMPOTENT);
     let waiting = started_attempts(&node.request(NON_IDEMPOTENT, 1.0).actions);
     assert!(waiting.is_empty(), "a second attempt was sent to a recovering endpoint");
     node.complete(&test);
     assert_eq!(
-        started_attempts(&node.tick()).len(),
+        started_attempts(&node.fire_timer()).len(),
         1,
         "attempts that start once the test has succeeded: that of the waiting request"
     );
--- a/tests/endpoint_selection.rs
+++ b/tests/endpoint_selection.rs
@@ -109,26 +109,27 @@
     let mut in_flight: VecDeque<StartedAttempt> = VecDeque::new();
     for number in 0..600 {
         node.advance(8 * MILLISECOND);
-        let before = node.node.work_counters().endpoints_examined;
-        in_flight.push_back(node.request_started(SAFE));
+        let before = node.engine.work_counters().endpoints_examined;
+        in_flight.push_back(node.start_attempt(SAFE));
         examined_per_request =
-            examined_per_request.max(node.node.work_counters().endpoints_examined - before);
+            examined_per_request.max(node.engine.work_counters().endpoints_examined - before);
         if in_flight.len() > 6 {
-            let oldest = in_flight.pop_front().expect("an attempt in flight");
+            let oldest = in_flight.pop_front().expect("expected an attempt in flight, got none");
             node.complete(&oldest);
         }
         if number % 3 == 0 {
-            let before = node.node.work_counters().endpoints_examined;
-            node.tick();
-            examined_per_tick = examined_per_tick.max(node.node.work_counters().endpoints_examined - before);
+            let before = node.engine.work_counters().endpoints_examined;
+            node.fire_timer();
+            examined_per_tick =
+                examined_per_tick.max(node.engine.work_counters().endpoints_examined - before);
         }
     }
-    let before = node.node.work_counters().entries_changed;
+    let before = node.engine.work_counters().entries_changed;
     node.event(delta(vec![entry(5, EndpointState::Active, node.now), active_entry(6)]));
-    let changed_by_delta = node.node.work_counters().entries_changed - before;
-    let before = node.node.work_counters().entries_changed;
+    let changed_by_delta = node.engine.work_counters().entries_changed - before;
+    let before = node.engine.work_counters().entries_changed;
     node.event(snapshot_with_three_changes(endpoint_count, node.now));
-    let changed_by_snapshot = node.node.work_counters().entries_changed - before;
+    let changed_by_snapshot = node.engine.work_counters().entries_changed - before;
     Work { examined_per_request, examined_per_tick, changed_by_delta, changed_by_snapshot }
 }
 
@@ -170,7 +171,7 @@
     let mut in_use = BTreeSet::new();
     for _ in 0..60 {
         node.advance(100 * MILLISECOND);
-        let attempt = node.request_started(SAFE);
+        let attempt = node.start_attempt(SAFE);
         node.complete(&attempt);
         in_use.insert(attempt.endpoint);
     }
@@ -181,16 +182,16 @@
 fn snapshot_that_replaces_all_endpoints_leaves_none_of_the_old_in_use() {
     let mut node = NodeUnderTest::new(settings_of_node(0, 300), 0);
     node.event(snapshot(0..1_000));
-    let old_attempt = node.request_started(SAFE);
+    let old_attempt = node.start_attempt(SAFE);
     node.event(snapshot(1_000..2_000));
     let new: BTreeSet<EndpointId> = (1_000..2_000).map(|number| active_entry(number).id).collect();
     assert!(endpoints_in_use(&mut node).is_subset(&new));
     // The endpoint with an attempt in flight is kept until the attempt ends.
-    assert_eq!(node.node.retained_entries().endpoints, 1_001);
+    assert_eq!(node.engine.retained_entries().endpoints, 1_001);
     node.complete(&old_attempt);
     node.advance(SECOND);
-    node.tick();
-    assert_eq!(node.node.retained_entries().endpoints, 1_000);
+    node.fire_timer();
+    assert_eq!(node.engine.retained_entries().endpoints, 1_000);
 }
 
 #[test]
@@ -206,7 +207,7 @@
             let listed_twice = active_entry(2).id;
             let is_in_use = endpoints_in_use(&mut node).contains(&listed_twice);
             assert_eq!(is_in_use, last == EndpointState::Active, "{kind:?}, {last:?}");
-            assert_eq!(node.node.retained_entries().endpoints, 3);
+            assert_eq!(node.engine.retained_entries().endpoints, 3);
         }
     }
 }
@@ -216,10 +217,10 @@
     let mut node = NodeUnderTest::new(settings_of_node(0, 1), 0);
     node.event(snapshot(0..2));
     node.event(delta(vec![entry(8, EndpointState::Removed, 0), entry(9, EndpointState::Draining, 0)]));
-    assert_eq!(node.node.retained_entries().endpoints, 3, "endpoints kept, without the removed one");
+    assert_eq!(node.engine.retained_entries().endpoints, 3, "endpoints kept, without the removed one");
     assert_eq!(endpoints_in_use(&mut node).len(), 2);
     node.event(delta(vec![active_entry(7)]));
-    assert_eq!(node.node.retained_entries().endpoints, 4);
+    assert_eq!(node.engine.retained_entries().endpoints, 4);
     assert_eq!(endpoints_in_use(&mut node).len(), 3);
 }
 
--- a/tests/fakes/client.rs
+++ b/tests/fakes/client.rs
@@ -58,7 +58,7 @@
     /// Connects to a node.
     pub fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).expect("failed to connect to the node");
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("failed to set the read time-out");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("failed to set the read timeout");
         Client { reader: BufReader::new(stream.try_clone().expect("failed to clone the connection")), stream }
     }
 
@@ -69,7 +69,7 @@
         socket.set_recv_buffer_size(bytes).expect("failed to set the size of the receive buffer");
         socket.connect(&address.into()).expect("failed to connect to the node");
         let stream = TcpStream::from(socket);
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("failed to set the read time-out");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("failed to set the read timeout");
         Client { reader: BufReader::new(stream.try_clone().expect("failed to clone the connection")), stream }
     }
 
@@ -125,11 +125,9 @@
     /// Waits up to 1 ms for bytes or the end of the connection and returns whether the result meets
     /// `condition`. Bytes that have arrived stay unread.
     fn poll(&mut self, condition: impl FnOnce(std::io::Result<&[u8]>) -> bool) -> bool {
-        self.stream
-            .set_read_timeout(Some(Duration::from_millis(1)))
-            .expect("failed to set the read time-out");
+        self.stream.set_read_timeout(Some(Duration::from_millis(1))).expect("failed to set the read timeout");
         let is_met = condition(self.reader.fill_buf());
-        self.stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("failed to set the read time-out");
+        self.stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("failed to set the read timeout");
         is_met
     }
 
@@ -147,7 +145,7 @@
     /// Reads the next response and asserts that it has status 200 and the body `body`.
     pub fn assert_ok(&mut self, body: &str) {
         let response = self.response();
-        assert_eq!(response.status(), 200, "{}", response.first);
+        assert_eq!(response.status(), 200, "{}", response.start_line);
         assert_eq!(response.body, body.as_bytes());
     }
 }
--- a/tests/fakes/configuration.rs
+++ b/tests/fakes/configuration.rs
@@ -21,7 +21,7 @@
 /// Returns settings with a class for each kind of idempotency, a plan without a quota and one with a quota,
 /// two nodes and two zones.
 ///
-/// The time-out of counter calls is 20 s, because a test that replies to these calls may be slow on a busy
+/// The timeout of counter calls is 20 s, because a test that replies to these calls may be slow on a busy
 /// machine.
 pub fn node_settings() -> Value {
     let class = |name: &str, idempotency: &str| {
@@ -63,21 +63,21 @@
 
     /// Sets the address of discovery.
     pub fn discovery(self, address: SocketAddr) -> Self {
-        self.text("discovery", &address.to_string())
+        self.set_text("discovery", &address.to_string())
     }
 
     /// Sets the address of the counter service.
     pub fn counter(self, address: SocketAddr) -> Self {
-        self.text("counter", &address.to_string())
+        self.set_text("counter", &address.to_string())
     }
 
     /// Sets a top-level field of the configuration to a text, which may be an invalid value.
-    pub fn text(mut self, field: &str, value: &str) -> Self {
+    pub fn set_text(mut self, field: &str, value: &str) -> Self {
         self.0[field] = json!(value);
         self
     }
 
-    /// Sets the time-out of counter calls, in microseconds.
+    /// Sets the timeout of counter calls, in microseconds.
     pub fn counter_timeout(mut self, micros: u64) -> Self {
         self.0["settings"]["domain"]["count_wait"] = json!(micros);
         self
@@ -99,7 +99,7 @@
         self
     }
 
-    /// Sets the total time-out of all classes, in microseconds.
+    /// Sets the total timeout of all classes, in microseconds.
     pub fn total_timeout(mut self, micros: u64) -> Self {
         for class in
             self.0["settings"]["classes"].as_array_mut().expect("the settings have no list of classes")
@@ -109,7 +109,7 @@
         self
     }
 
-    /// Sets the time-out for establishing a connection to an endpoint, in microseconds.
+    /// Sets the timeout for establishing a connection to an endpoint, in microseconds.
     pub fn connect_timeout(mut self, micros: u64) -> Self {
         self.0["settings"]["bounds"]["connect_timeout"] = json!(micros);
         self
@@ -134,7 +134,7 @@
     }
 
     /// Sets the maximum number of file descriptors that the node may use.
-    pub fn descriptors(mut self, count: u32) -> Self {
+    pub fn max_descriptors(mut self, count: u32) -> Self {
         self.0["limits"]["sockets"] = json!(count);
         self
     }
--- a/tests/fakes/discovery.rs
+++ b/tests/fakes/discovery.rs
@@ -156,7 +156,7 @@
 
 /// Returns the version from which a call watches. Returns `None` if the call fetches the full list.
 pub fn watched_version(call: &HttpMessage) -> Option<u64> {
-    let (_, after) = call.first.split_once("after=")?;
+    let (_, after) = call.start_line.split_once("after=")?;
     let version = after.split('&').next().and_then(|digits| digits.parse().ok());
     Some(version.expect("the watch has no valid version"))
 }
--- a/tests/fakes/edge_process.rs
+++ b/tests/fakes/edge_process.rs
@@ -18,7 +18,7 @@
 const DEFAULT_DESCRIPTORS: u64 = 256;
 
 /// The exit status of a node and the rest of its log.
-pub struct ProcessEnd {
+pub struct ProcessExit {
     /// Exit status of the process.
     pub status: ExitStatus,
     /// The part of the log that the test had not read before.
@@ -68,9 +68,12 @@
 }
 
 /// Starts a node that is expected to exit by itself, waits for its exit and returns its exit status and log.
-pub fn start_until_end(configuration: &str) -> ProcessEnd {
+pub fn run_until_exit(configuration: &str) -> ProcessExit {
     let output = launch(configuration).child.wait_with_output().expect("failed to wait for the node's exit");
-    ProcessEnd { status: output.status, log: String::from_utf8(output.stderr).expect("the log is not UTF-8") }
+    ProcessExit {
+        status: output.status,
+        log: String::from_utf8(output.stderr).expect("the log is not UTF-8"),
+    }
 }
 
 impl EdgeProcess {
@@ -185,10 +188,10 @@
     }
 
     /// Waits until the process exits, and returns its exit status and the rest of its log.
-    pub fn wait_for_end(mut self) -> ProcessEnd {
+    pub fn wait_for_exit(mut self) -> ProcessExit {
         let mut log = String::new();
         self.log.read_to_string(&mut log).expect("failed to read the log");
-        ProcessEnd { status: self.child.wait().expect("failed to wait for the node's exit"), log }
+        ProcessExit { status: self.child.wait().expect("failed to wait for the node's exit"), log }
     }
 
     /// Waits until the process is suspended. When `kill` returns, the signal has been sent, but the process
--- a/tests/fakes/endpoint.rs
+++ b/tests/fakes/endpoint.rs
@@ -75,7 +75,7 @@
     /// Panics with the id and the request line of a request that must not have arrived.
     fn fail_unexpected(&self) -> ! {
         let id = self.message.header("x-request-id");
-        panic!("expected no request, got one with id {id:?} and request line {:?}", self.message.first);
+        panic!("expected no request, got one with id {id:?} and request line {:?}", self.message.start_line);
     }
 }
 
--- a/tests/fakes/http.rs
+++ b/tests/fakes/http.rs
@@ -6,7 +6,7 @@
 /// An HTTP request or response.
 pub struct HttpMessage {
     /// The request line or the status line.
-    pub first: String,
+    pub start_line: String,
     /// The headers. Names are in lower case.
     pub headers: BTreeMap<String, String>,
     /// The body.
@@ -16,7 +16,7 @@
 impl HttpMessage {
     /// Returns the status code of a response. Panics if the message is no valid response.
     pub fn status(&self) -> u16 {
-        self.first
+        self.start_line
             .split(' ')
             .nth(1)
             .expect("the status line has no status code")
@@ -39,7 +39,7 @@
 /// Reads one message. Returns `None` if the connection ends before the message is complete, or if reading
 /// fails.
 pub fn read_message(reader: &mut impl BufRead) -> Option<HttpMessage> {
-    let first = read_line(reader)?;
+    let start_line = read_line(reader)?;
     let mut headers = BTreeMap::new();
     loop {
         let line = read_line(reader)?;
@@ -51,7 +51,7 @@
         .map_or(0, |length| length.parse().expect("the content length is not a number"));
     let mut body = vec![0; length];
     reader.read_exact(&mut body).ok()?;
-    Some(HttpMessage { first, headers, body })
+    Some(HttpMessage { start_line, headers, body })
 }
 
 /// Returns a response with status 200 and this body.
--- a/tests/fakes/mod.rs
+++ b/tests/fakes/mod.rs
@@ -20,7 +20,7 @@
 pub use configuration::{active, endpoint_entry, node_settings, NodeConfiguration};
 pub use counter::{CounterCall, FakeCounter};
 pub use discovery::{next_watch, watched_version, FakeDiscovery};
-pub use edge_process::{start_until_end, EdgeProcess, ProcessEnd};
+pub use edge_process::{run_until_exit, EdgeProcess, ProcessExit};
 pub use endpoint::{next_request_at_any, EndpointEvent, FakeEndpoint, ReceivedAt, ReceivedRequest};
 pub use http::{ok_response, HttpMessage};
 pub use setups::{assert_failed, assert_served_by, one_endpoint, two_endpoints, OneEndpoint, TwoEndpoints};
--- a/tests/fakes/setups.rs
+++ b/tests/fakes/setups.rs
@@ -49,8 +49,8 @@
 
 /// Asserts that a response says that the request failed: the request was neither served nor rejected.
 pub fn assert_failed(response: &HttpMessage) {
-    assert_ne!(response.status(), 200, "{}", response.first);
-    assert!(!response.is_rejected(), "{}", response.first);
+    assert_ne!(response.status(), 200, "{}", response.start_line);
+    assert!(!response.is_rejected(), "{}", response.start_line);
 }
 
 /// Sends a request, answers it with status 200 at `endpoint`, and asserts that the client receives this
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -16,7 +16,7 @@
 };
 
 #[test]
-fn shutdown_answers_requests_in_progress_however_short_the_timeouts() {
+fn shutdown_answers_requests_in_progress_even_with_short_timeouts() {
     // If the end of the shutdown were computed from the longest timeout only, it would precede the close of
     // the listener.
     for micros in [1_000, 50_000, 200_000, 500_000] {
@@ -28,19 +28,19 @@
         edge.terminate();
         let response = client.response_or_end().expect("the request is answered before the process ends");
         assert_eq!(response.status(), 502, "timeouts of {micros} us");
-        assert!(edge.wait_for_end().status.success());
+        assert!(edge.wait_for_exit().status.success());
     }
 }
 
 #[test]
-fn connection_that_waits_for_a_descriptor_when_the_listener_closes_is_answered() {
+fn connection_that_waits_for_a_descriptor_when_the_listener_closes_is_served() {
     let endpoint = FakeEndpoint::start();
     let counter = FakeCounter::start();
     // These descriptors are enough for nine client connections.
     let edge = NodeConfiguration::new(&[active("s-1", endpoint.address)])
         .counter(counter.address)
         .counter_timeout(20_000_000)
-        .descriptors(40)
+        .max_descriptors(40)
         .start();
     // A connection whose request waits for the counter service is not idle, and the request has no attempt.
     let texts: [String; 9] = from_fn(|number| match number {
@@ -59,7 +59,7 @@
         "expected a response to the request from the backlog, got the end of the connection"
     );
     drop(in_flight);
-    assert!(edge.wait_for_end().status.success());
+    assert!(edge.wait_for_exit().status.success());
 }
 
 /// Returns the text of a request of the plan with a quota, from an account that no other request uses.
@@ -102,7 +102,7 @@
         assert_eq!(response.body, id.as_bytes());
         assert_eq!(response.header("connection"), Some("close"));
     }
-    assert!(edge.wait_for_end().status.success());
+    assert!(edge.wait_for_exit().status.success());
 }
 
 #[test]
@@ -135,7 +135,7 @@
     in_flight.respond_ok(&"y".repeat(64 * 1024));
     // The process has closed the connection by now, and most of the response is still in the kernel's send
     // buffer. If the connection had been closed with unread bytes, the kernel would have dropped it.
-    assert!(edge.wait_for_end().status.success());
+    assert!(edge.wait_for_exit().status.success());
     let response = client.response();
     assert_eq!(response.status(), 200);
     assert_eq!(response.body.len(), 64 * 1024);
@@ -156,9 +156,9 @@
     edge.reload("no configuration");
     in_flight.respond_ok("held");
     assert_eq!(client.response().body, b"held");
-    let end = edge.wait_for_end();
-    assert!(end.status.success(), "{}", end.log);
-    assert!(end.log.contains("the old configuration stays"), "{}", end.log);
+    let exit = edge.wait_for_exit();
+    assert!(exit.status.success(), "{}", exit.log);
+    assert!(exit.log.contains("the old configuration stays"), "{}", exit.log);
 }
 
 #[test]
@@ -193,18 +193,18 @@
         increment.reply_total(total);
     }
     assert_eq!(released, 1.0 - leased);
-    assert!(edge.wait_for_end().status.success());
+    assert!(edge.wait_for_exit().status.success());
 }
 
 #[test]
-fn request_that_the_shutdown_failed_is_not_sent_when_descriptors_come_free() {
+fn request_failed_by_the_shutdown_is_not_sent_when_descriptors_become_free() {
     let endpoint = FakeEndpoint::start();
     // These descriptors are enough for sixteen connections, nine of which may be client connections. So seven
     // attempts get a descriptor, and two wait.
     let edge = NodeConfiguration::new(&[active("s-1", endpoint.address)])
         .total_timeout(50_000)
         .connect_timeout(60_000_000)
-        .descriptors(40)
+        .max_descriptors(40)
         .start();
     let text =
         |number| RequestSpec { deadline_ms: 600_000, ..request("post", &format!("p-{number}")) }.text();
@@ -214,7 +214,7 @@
     for client in &mut clients {
         assert_eq!(client.response().status(), 502);
     }
-    assert!(edge.wait_for_end().status.success());
+    assert!(edge.wait_for_exit().status.success());
     // After the node's connections have ended, everything that it sent has arrived.
     for _ in 0..7 {
         endpoint.assert_connection_ended();
--- a/tests/list_watch.rs
+++ b/tests/list_watch.rs
@@ -77,7 +77,7 @@
     edge.reload(&configuration.clone().discovery(other_agent.address).to_text());
     let _call_after_move = other_agent.next_request();
     edge.reload(&configuration.to_text());
-    // After the move back the agent counts its versions anew, so the old response has the higher version.
+    // The agent restarts its version count after the move back, so the old response has the higher version.
     agent.next_request().respond_ok(&list(3, true, &[active("s-2", new.address)]));
     let _watch = next_watch(&agent);
     let old_list = list(9, true, &[active("s-1", old.address)]);
--- a/tests/load_shedding.rs
+++ b/tests/load_shedding.rs
@@ -5,8 +5,8 @@
 use std::collections::VecDeque;
 
 use common::{
-    rejection, settings_without_quota, started_attempts, NodeUnderTest, StartedAttempt, MILLISECOND, SAFE,
-    SECOND,
+    first_retry_after, settings_without_quota, started_attempts, NodeUnderTest, StartedAttempt, MILLISECOND,
+    SAFE, SECOND,
 };
 
 /// Completes the attempts in order, one every 50 ms.
@@ -24,7 +24,7 @@
     let mut node = NodeUnderTest::new(settings_without_quota(), 2);
     let mut in_flight = Vec::new();
     for _ in 0..20 {
-        in_flight.push(node.request_started(SAFE));
+        in_flight.push(node.start_attempt(SAFE));
         node.advance(20 * MILLISECOND);
     }
     complete_slowly(&mut node, in_flight);
@@ -33,10 +33,10 @@
     for step in 0..200 {
         node.advance(MILLISECOND);
         if step % 20 == 0 {
-            node.tick();
+            node.fire_timer();
         }
         let actions = node.request(SAFE, 1.0).actions;
-        if let Some(retry_after) = rejection(&actions) {
+        if let Some(retry_after) = first_retry_after(&actions) {
             rejections += 1;
             assert!(
                 (1..=2 * SECOND).contains(&retry_after),
@@ -52,7 +52,7 @@
     complete_slowly(&mut node, in_flight);
     for _ in 0..500 {
         node.advance(20 * MILLISECOND);
-        node.tick();
+        node.fire_timer();
     }
     let attempts = started_attempts(&node.request(SAFE, 1.0).actions);
     assert_eq!(attempts.len(), 1, "an idle fleet must admit a request, whatever the past latencies");
@@ -68,16 +68,16 @@
     for step in 0..400 {
         node.advance(10 * MILLISECOND);
         if step % 2 == 0 {
-            node.tick();
+            node.fire_timer();
         }
-        in_flight.push_back(node.request_started(SAFE));
+        in_flight.push_back(node.start_attempt(SAFE));
         if in_flight.len() > 5 {
-            let oldest = in_flight.pop_front().expect("an attempt in flight");
+            let oldest = in_flight.pop_front().expect("expected an attempt in flight, got none");
             node.complete(&oldest);
         }
     }
     // `request_started` panics if the request is shed.
     for _ in 0..60 {
-        node.request_started(SAFE);
+        node.start_attempt(SAFE);
     }
 }
--- a/tests/node_configuration.rs
+++ b/tests/node_configuration.rs
@@ -5,13 +5,13 @@
 use std::net::TcpListener;
 
 use fakes::{
-    active, assert_served_by, paid_request, request, start_until_end, FakeCounter, FakeDiscovery,
+    active, assert_served_by, paid_request, request, run_until_exit, FakeCounter, FakeDiscovery,
     FakeEndpoint, NodeConfiguration,
 };
 
 #[test]
-fn unusable_configuration_ends_the_node_with_one_line() {
-    let with = |field: &str, value: &str| NodeConfiguration::new(&[]).text(field, value).to_text();
+fn unusable_configuration_makes_the_node_exit_with_one_line() {
+    let with = |field: &str, value: &str| NodeConfiguration::new(&[]).set_text(field, value).to_text();
     let other_listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind a loopback port");
     let address_in_use = other_listener.local_addr().expect("failed to get the listener's address");
     let unusable = [
@@ -24,10 +24,10 @@
         with("listen", &address_in_use.to_string()),
     ];
     for configuration in unusable {
-        let end = start_until_end(&configuration);
-        assert!(!end.status.success(), "the node accepted this configuration: {configuration}");
-        assert!(end.log.starts_with("edge-node: "), "unexpected log: {}", end.log);
-        assert_eq!(end.log.lines().count(), 1, "expected one line, got: {}", end.log);
+        let exit = run_until_exit(&configuration);
+        assert!(!exit.status.success(), "the node accepted this configuration: {configuration}");
+        assert!(exit.log.starts_with("edge-node: "), "unexpected log: {}", exit.log);
+        assert_eq!(exit.log.lines().count(), 1, "expected one line, got: {}", exit.log);
     }
 }
 
@@ -39,7 +39,7 @@
     let old_counter = FakeCounter::start();
     let new_counter = FakeCounter::start();
     // The test does not answer the last calls to the counter service, so these calls end only at their
-    // time-out. It is 3 s here.
+    // timeout. It is 3 s here.
     let configuration = NodeConfiguration::new(&[active("s-1", old_endpoint.address)])
         .discovery(old_discovery.address)
         .counter(old_counter.address)
@@ -81,5 +81,5 @@
     old_endpoint.assert_no_request();
     edge.terminate();
     edge.signal("HUP");
-    assert!(edge.wait_for_end().status.success());
+    assert!(edge.wait_for_exit().status.success());
 }
--- a/tests/node_descriptor_limit.rs
+++ b/tests/node_descriptor_limit.rs
@@ -24,12 +24,12 @@
 fn small_node() -> SmallNode {
     let endpoint = FakeEndpoint::start();
     let configuration = NodeConfiguration::new(&[active("s-1", endpoint.address)]);
-    let edge = configuration.descriptors(DESCRIPTORS).start();
+    let edge = configuration.max_descriptors(DESCRIPTORS).start();
     SmallNode { endpoint, edge }
 }
 
 #[test]
-fn idle_connections_give_way_to_new_ones_and_no_request_is_lost() {
+fn idle_connections_are_closed_for_new_ones_and_no_request_is_lost() {
     let SmallNode { endpoint, edge } = small_node();
     // There are many more clients than descriptors, and each connection is idle after its response.
     let mut idle_clients = Vec::new();
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn clients_that_never_finish_their_request_give_way() {
+fn connections_with_unfinished_requests_are_closed_for_new_clients() {
     let SmallNode { endpoint, edge } = small_node();
     let text = request("lookup", "l-0").text();
     let _unfinished = edge.connect_having_sent([&text[..text.len() / 2]; 20]);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn silent_connections_keep_no_client_out() {
+fn connections_without_requests_do_not_block_new_clients() {
     let SmallNode { endpoint, edge } = small_node();
     let mut regular = edge.connect();
     assert_served_by(&endpoint, &mut regular, &request("post", "first"));
@@ -98,7 +98,7 @@
 ///
 /// The other client has to be served before a node with free descriptors gives up a client that has sent only
 /// `half_sent`.
-fn assert_half_sent_requests_give_way_soon(half_sent: &str) {
+fn assert_half_sent_requests_are_evicted_soon(half_sent: &str) {
     let unloaded_node = small_node();
     let SmallNode { endpoint, edge } = small_node();
     let send_to = |edge: &EdgeProcess, text: &str| {
@@ -120,19 +120,19 @@
 }
 
 #[test]
-fn half_sent_heads_give_way_where_descriptors_run_out() {
+fn half_sent_heads_are_evicted_when_descriptors_run_out() {
     let text = request("lookup", "l-0").text();
-    assert_half_sent_requests_give_way_soon(&text[..text.len() / 2]);
+    assert_half_sent_requests_are_evicted_soon(&text[..text.len() / 2]);
 }
 
 #[test]
-fn half_sent_bodies_give_way_where_descriptors_run_out() {
+fn half_sent_bodies_are_evicted_when_descriptors_run_out() {
     let text = request("post", "p-0").text();
-    assert_half_sent_requests_give_way_soon(&text[..text.len() - 1]);
+    assert_half_sent_requests_are_evicted_soon(&text[..text.len() - 1]);
 }
 
 #[test]
-fn slow_requests_give_way_where_descriptors_run_out() {
+fn slow_requests_are_evicted_when_descriptors_run_out() {
     let unloaded_node = small_node();
     let SmallNode { endpoint, edge } = small_node();
     let text = request("post", "p-0").text();
--- a/tests/node_forwarding.rs
+++ b/tests/node_forwarding.rs
@@ -16,7 +16,7 @@
         client.send(&request(class, &format!("id-{class}")));
         let received = endpoint.next_request();
         let method = if class == "lookup" { "GET" } else { "POST" };
-        assert_eq!(received.message.first, format!("{method} /{class}?key=0000000000000007 HTTP/1.1"));
+        assert_eq!(received.message.start_line, format!("{method} /{class}?key=0000000000000007 HTTP/1.1"));
         assert_eq!(received.request_id(), format!("id-{class}"));
         assert_eq!(received.message.header("idempotency-key"), (class == "slip").then_some("5c0f"));
         assert_eq!(received.message.body, if class == "lookup" { &b""[..] } else { b"slip!" });
@@ -47,7 +47,7 @@
     let sent_at = Instant::now();
     client.send(&RequestSpec { deadline_ms: 16_000, ..request("post", "p-1") });
     let response = client.response();
-    assert!(response.is_rejected(), "expected a rejection, got {}", response.first);
+    assert!(response.is_rejected(), "expected a rejection, got {}", response.start_line);
     assert!(
         sent_at.elapsed() < Duration::from_secs(12),
         "expected a response within 12 s, got one after {:?}",
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn request_of_disconnected_client_is_forgotten_when_its_attempt_ends() {
+fn request_of_disconnected_client_is_dropped_when_its_attempt_ends() {
     let OneEndpoint { endpoint, edge, mut client } = one_endpoint();
     client.send(&request("post", "p-1"));
     let received = endpoint.next_request();
@@ -81,9 +81,9 @@
     other_client.send(&request("post", "p-1"));
     assert_failed(&other_client.response());
     drop(client);
-    received.respond_ok("for nobody");
-    // When the attempt has ended, the id can be used again. This shows that the node has forgotten the
-    // request.
+    received.respond_ok("unused");
+    // When the attempt has ended, the id can be used again. This shows that the node has dropped the
+    // first request.
     let until = Instant::now() + TEST_TIMEOUT;
     let again = loop {
         assert!(Instant::now() < until, "expected the id to be free in time, but it is still in use");
@@ -92,8 +92,8 @@
             break again;
         }
     };
-    again.respond_ok("anew");
-    other_client.assert_ok("anew");
+    again.respond_ok("second");
+    other_client.assert_ok("second");
 }
 
 /// Waits for the request to arrive at the endpoint and returns it. Returns `None` if the client gets the
--- a/tests/node_request_validation.rs
+++ b/tests/node_request_validation.rs
@@ -103,7 +103,7 @@
     let OneEndpoint { endpoint, edge: _edge, mut client } = one_endpoint();
     client.send_raw(&request("lookup", "l-2").text().replace("GET /", "GET http://service.internal/"));
     let received = endpoint.next_request();
-    assert_eq!(received.message.first, "GET /lookup?key=0000000000000007 HTTP/1.1");
+    assert_eq!(received.message.start_line, "GET /lookup?key=0000000000000007 HTTP/1.1");
     received.respond_ok("ok");
     client.assert_ok("ok");
 }
--- a/tests/node_retries.rs
+++ b/tests/node_retries.rs
@@ -39,8 +39,8 @@
         client.send(&request("post", "p-1"));
         fail(next_request_at_any(&[&first, &second]).request);
         let response = client.response();
-        assert_ne!(response.status(), 200, "{name}: expected a failure, got {}", response.first);
-        assert!(!response.is_rejected(), "{name}: expected no rejection, got {}", response.first);
+        assert_ne!(response.status(), 200, "{name}: expected a failure, got {}", response.start_line);
+        assert!(!response.is_rejected(), "{name}: expected no rejection, got {}", response.start_line);
         first.assert_no_request();
         second.assert_no_request();
     }
@@ -138,7 +138,7 @@
 fn requests_that_are_never_answered_do_not_count_as_load() {
     let endpoint = FakeEndpoint::start();
     let configuration = NodeConfiguration::new(&[active("s-1", endpoint.address)]);
-    let edge = configuration.latency_objective(2_000_000).descriptors(400).start();
+    let edge = configuration.latency_objective(2_000_000).max_descriptors(400).start();
     let mut client = edge.connect();
     let mut unanswered = Vec::new();
     let mut statuses = Vec::new();
--- a/tests/node_shutdown.rs
+++ b/tests/node_shutdown.rs
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn shutdown_answers_pending_requests_and_those_that_still_come() {
+fn shutdown_answers_pending_and_newly_arriving_requests() {
     let OneEndpoint { endpoint, edge, mut client } = one_endpoint();
     let mut later_client = edge.connect();
     client.send(&request("post", "p-1"));
@@ -34,8 +34,8 @@
     assert_served_by(&endpoint, &mut new_client, &request("post", "p-3"));
     pending.respond_ok("pending");
     client.assert_ok("pending");
-    let end = edge.wait_for_end();
-    assert!(end.status.success(), "{}", end.log);
+    let exit = edge.wait_for_exit();
+    assert!(exit.status.success(), "{}", exit.log);
 }
 
 #[test]
@@ -65,7 +65,7 @@
         }
     };
     assert_eq!(returned, 1.0 - leased);
-    assert!(edge.wait_for_end().status.success());
+    assert!(edge.wait_for_exit().status.success());
 }
 
 /// The process is killed 3.7 s after SIGTERM, and requests without a response by then are lost. So the node
@@ -77,5 +77,5 @@
     let _unanswered = endpoint.next_request();
     edge.terminate();
     assert_failed(&client.response());
-    assert!(edge.wait_for_end().status.success());
+    assert!(edge.wait_for_exit().status.success());
 }
--- a/tests/oracle/checked_node.rs
+++ b/tests/oracle/checked_node.rs
@@ -72,7 +72,7 @@
 impl CheckedNode {
     pub fn new(seed: u64, endpoint_count: u64, settings: Settings) -> CheckedNode {
         let mut node = NodeUnderTest::new(settings.clone(), 0);
-        node.node = DecisionEngine::new(seed, settings.clone());
+        node.engine = DecisionEngine::new(seed, settings.clone());
         let mut checked = CheckedNode {
             node,
             oracle: Oracle::new(seed, settings.clone()),
--- a/tests/oracle/mod.rs
+++ b/tests/oracle/mod.rs
@@ -247,7 +247,7 @@
         let is_in_subset = self.subset().contains(&endpoint);
         let is_recovery_test = self.is_recovering(&self.endpoints[&endpoint]);
         let warm_fraction = self.warm_fraction(&self.endpoints[&endpoint]);
-        let request = self.requests.get_mut(id).expect("a pending request");
+        let request = self.requests.get_mut(id).expect("expected the request to be pending");
         let idempotency = self.settings.classes[request.class].idempotency;
         let is_keyed = idempotency == Idempotency::Keyed;
         self.checked.all += 1;
@@ -255,7 +255,7 @@
         self.checked.bound_repeats += u32::from(is_keyed && request.first_possible_run.is_some());
         let budget_change = if request.attempts.is_empty() { 0.2 } else { -1.0 };
         self.retry_budget = (self.retry_budget + budget_change).min(20.0);
-        let state = self.endpoints.get_mut(&endpoint).expect("a known endpoint");
+        let state = self.endpoints.get_mut(&endpoint).expect("expected the endpoint to be known");
         let placement = Placement { zone: state.entry.zone, cell: state.entry.cell };
         request.attempts.push(Attempt { endpoint, placement, sent_at: self.now });
         state.in_flight.push(self.now);
@@ -304,7 +304,7 @@
             .get_mut(&attempt.endpoint)
             .expect("an endpoint is kept while attempts are in flight");
         let index = endpoint.in_flight.iter().position(|&sent_at| sent_at == attempt.sent_at);
-        endpoint.in_flight.remove(index.expect("an attempt in flight"));
+        endpoint.in_flight.remove(index.expect("expected an attempt in flight, got none"));
         let succeeded = end.outcome == Outcome::Ok;
         let refused = matches!(end.outcome, Outcome::Error | Outcome::Rejected);
         let unanswered = matches!(end.outcome, Outcome::TimedOut | Outcome::Cancelled)
@@ -325,7 +325,7 @@
 
     /// Records the outcome in the response times and the health of the endpoint and the fleet.
     fn record_health(&mut self, end: &EndedAttempt, attempt: &Attempt) {
-        let endpoint = self.endpoints.get_mut(&attempt.endpoint).expect("a known endpoint");
+        let endpoint = self.endpoints.get_mut(&attempt.endpoint).expect("expected the endpoint to be known");
         let unanswered_since_ejection =
             endpoint.last_response_at < attempt.sent_at && attempt.sent_at >= endpoint.ejected_until;
         let fleet_resets = self.connection_resets.value(self.now, 0.0);
@@ -380,7 +380,7 @@
     }
 
     fn eject(&mut self, id: EndpointId) {
-        let endpoint = self.endpoints.get_mut(&id).expect("a known endpoint");
+        let endpoint = self.endpoints.get_mut(&id).expect("expected the endpoint to be known");
         if endpoint.ejected_until <= self.now {
             endpoint.ejected_until = self.now + ejection_time(endpoint.consecutive_ejections);
             endpoint.consecutive_ejections += 1;
--- a/tests/oracle/selection.rs
+++ b/tests/oracle/selection.rs
@@ -76,7 +76,8 @@
         // The scan of the whole list takes its random numbers from a copy of the state. The node itself draws
         // random numbers only for the endpoints that its subset spans.
         let best_of_all = self.best_of(id, exclude, ring, &mut self.random_state.clone());
-        let position = |id| ring.iter().position(|&on_ring| on_ring == id).expect("on the ring");
+        let position =
+            |id| ring.iter().position(|&on_ring| on_ring == id).expect("the id is not on the ring");
         let span = self.subset().last().map_or(0, |&last| position(last) + 1);
         let mut random_state = self.random_state;
         let best_of_subset = self.best_of(id, exclude, &ring[..span], &mut random_state);
@@ -92,7 +93,7 @@
             let found = best_of_subset
                 .into_iter()
                 .chain(best_beyond_subset)
-                .min_by(|one, other| one.partial_cmp(other).expect("a cost that is not NaN"));
+                .min_by(|one, other| one.partial_cmp(other).expect("expected costs that are not NaN"));
             // A bound repeat finds an endpoint of its group wherever on the ring it is, an available one if
             // there is one.
             let availability = |best: Option<Ranked>| best.map(|best| best.rank.availability);
--- a/tests/quota_scaling.rs
+++ b/tests/quota_scaling.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{
-    counter_call, endpoint_entry, settings_with_quota, started_attempts, CounterCall, FakeCounter,
+    counter_call, endpoint_entry, settings_with_quota, started_attempts, CounterIncrement, InMemoryCounter,
     NodeUnderTest, StartedAttempt, MILLISECOND, SAFE, SECOND,
 };
 use edge_node::decision::{
@@ -72,7 +72,7 @@
 fn new_account_is_admitted_without_a_reply_where_the_even_share_is_below_one_request() {
     let mut node = NodeUnderTest::new(settings_of_fleet(100), 4);
     let actions = send_first_request(&mut node, 1, 100);
-    let call = counter_call(&actions).expect("a call to the counter");
+    let call = counter_call(&actions).expect("expected a counter call");
     let actions = node.end_counter_call(call, Outcome::TimedOut, 0.0);
     assert_eq!(
         started_attempts(&actions).len(),
@@ -88,18 +88,18 @@
     settings.plans[0].ceiling_burst_units = 24.0;
     let mut node = NodeUnderTest::new(settings, 4);
     let actions = send_first_request(&mut node, 1, 100);
-    let call = counter_call(&actions).expect("a call to the counter");
+    let call = counter_call(&actions).expect("expected a counter call");
     assert!(started_attempts(&node.end_counter_call(call, Outcome::TimedOut, 0.0)).is_empty());
 }
 
 #[test]
 fn account_within_quota_is_admitted_by_a_node_that_rarely_receives_its_requests() {
     let mut node = NodeUnderTest::new(settings_with_quota(), 4);
-    let mut counter = FakeCounter::default();
+    let mut counter = InMemoryCounter::default();
     let mut admitted = 0;
     for _ in 0..2 {
         let sent = node.request(SAFE, 3.0);
-        let call = counter_call(&sent.actions).expect("a call to the counter");
+        let call = counter_call(&sent.actions).expect("expected a counter call");
         admitted += started_attempts(&counter.reply_to_all(&mut node, sent.actions)).len();
         // The other nodes draw 12 units in the next 10 s: 1.2 of the 2 units per second.
         counter.add(call.key, 12.0);
@@ -110,10 +110,10 @@
 
 /// A request that drew its units from the counter.
 struct Draw {
-    call: CounterCall,
+    call: CounterIncrement,
     attempt: StartedAttempt,
     /// The overflow correction that followed, if any: a call that adds units.
-    overflow_correction: Option<CounterCall>,
+    overflow_correction: Option<CounterIncrement>,
 }
 
 /// Draws units after four seconds without a request. `total_after` returns the counter's total after the
@@ -121,11 +121,11 @@
 fn draw_after_idle_time(
     node: &mut NodeUnderTest,
     units: f64,
-    total_after: impl FnOnce(CounterCall) -> f64,
+    total_after: impl FnOnce(CounterIncrement) -> f64,
 ) -> Draw {
     node.advance(4 * SECOND);
     let sent = node.request(SAFE, units);
-    let call = counter_call(&sent.actions).expect("a call to the counter");
+    let call = counter_call(&sent.actions).expect("expected a counter call");
     let actions = node.end_counter_call(call, Outcome::Ok, total_after(call));
     Draw {
         call,
@@ -137,7 +137,7 @@
 #[test]
 fn overflow_correction_by_one_node_after_a_draw_is_not_taken_back() {
     let mut node = NodeUnderTest::new(settings_with_quota(), 4);
-    let mut counter = FakeCounter::default();
+    let mut counter = InMemoryCounter::default();
     for _ in 0..8 {
         // The draw exceeds the overflow of four seconds, so that the bucket is not full afterwards.
         let draw = draw_after_idle_time(&mut node, 6.0, |call| counter.add(call.key, call.amount));
@@ -155,7 +155,7 @@
             }
         }
         node.complete(&draw.attempt);
-        node.tick();
+        node.fire_timer();
     }
     panic!("an overflow smaller than the draw was never corrected");
 }
@@ -168,13 +168,14 @@
         if let Some(correction) = draw.overflow_correction {
             let total = draw.call.amount + 2.0 * correction.amount;
             let actions = node.end_counter_call(correction, Outcome::Ok, total);
-            let withdrawal = counter_call(&actions).expect("a call that takes the second correction back");
+            let withdrawal = counter_call(&actions)
+                .expect("expected a call that takes the second correction back, got none");
             let difference = (withdrawal.amount + correction.amount).abs();
             assert!(difference < 1e-6, "{correction:?} was made twice, but {withdrawal:?} was taken back");
             return;
         }
         node.complete(&draw.attempt);
-        node.tick();
+        node.fire_timer();
     }
     panic!("an idle account's overflow was never corrected");
 }
@@ -191,7 +192,7 @@
         node.advance(2 * SECOND);
         let next = (0..8)
             .find_map(|_| counter_call(&node.request(SAFE, 1.0).actions))
-            .expect("a call to the counter");
+            .expect("expected a counter call");
         assert!(
             next.amount < correction.amount,
             "expected a smaller call after {correction:?} failed, got {next:?}"
@@ -202,12 +203,12 @@
 }
 
 #[test]
-fn idle_accounts_and_removed_endpoints_are_forgotten() {
+fn idle_accounts_and_removed_endpoints_are_dropped() {
     let mut node = NodeUnderTest::new(settings_of_fleet(3), 4);
-    let mut counter = FakeCounter::default();
+    let mut counter = InMemoryCounter::default();
     for number in 0..3_000 {
         node.advance(20 * MILLISECOND);
-        for action in node.tick() {
+        for action in node.fire_timer() {
             counter.reply_to_all(&mut node, vec![action]);
         }
         // Once a second, one endpoint is replaced by another with a new id.
@@ -227,7 +228,7 @@
     }
     // There are 50 new accounts per second, each with a bucket that is full again after 6 s, and 4 endpoints
     // at a time.
-    let retained = node.node.retained_entries();
+    let retained = node.engine.retained_entries();
     assert!(
         retained.accounts <= 50 * 8,
         "{} of 3000 accounts in a minute are kept, expected at most 400",
@@ -241,13 +242,13 @@
     let node_count = 40;
     let settings = Settings { node_count, ..settings_with_quota() };
     let mut nodes: Vec<NodeUnderTest> = (0..node_count).map(|seed| node_of_fleet(seed, &settings)).collect();
-    let mut counter = FakeCounter::default();
+    let mut counter = InMemoryCounter::default();
     let mut served = 0;
     // One account requests five times its rate, through one node after the other.
     for number in 0..600 {
         let node = &mut nodes[number as usize % node_count as usize];
         node.now = 100 * SECOND + number * 100 * MILLISECOND;
-        node.tick();
+        node.fire_timer();
         let now = node.now;
         let actions = node.event(request_event(77, format!("c{number}"), node_count, now));
         let actions = counter.reply_to_all(node, actions);
@@ -266,7 +267,7 @@
 /// Returns a node with its own seed and four endpoints.
 fn node_of_fleet(seed: u32, settings: &Settings) -> NodeUnderTest {
     let mut node = NodeUnderTest::new(settings.clone(), 0);
-    node.node = DecisionEngine::new(seed.into(), settings.clone());
+    node.engine = DecisionEngine::new(seed.into(), settings.clone());
     let entries = (0..4).map(|id| endpoint_entry(id, EndpointState::Active, 0)).collect();
     node.event(Event::EndpointsUpdated { kind: EndpointUpdateKind::Snapshot, entries });
     node
@@ -302,7 +303,7 @@
                 node.complete(&attempt);
             }
         }
-        node.tick();
+        node.fire_timer();
     }
     assert!(speculative > 0, "expected a speculative admission among {requests} requests");
     assert!(
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -3,14 +3,14 @@
 mod common;
 
 use common::{
-    counter_call, rejection, settings_with_quota, started_attempts, FakeCounter, NodeUnderTest,
+    counter_call, first_retry_after, settings_with_quota, started_attempts, InMemoryCounter, NodeUnderTest,
     StartedAttempt, MILLISECOND, SAFE, SECOND,
 };
 use edge_node::decision::{Event, Micros, Outcome, Settings};
 
 /// Sends a request of one unit every 100 ms for `seconds` and completes those that are admitted. Returns the
 /// units admitted.
-fn send_steadily(node: &mut NodeUnderTest, counter: &mut FakeCounter, seconds: u64) -> f64 {
+fn send_steadily(node: &mut NodeUnderTest, counter: &mut InMemoryCounter, seconds: u64) -> f64 {
     let mut admitted_units = 0.0;
     for _ in 0..seconds * 10 {
         node.advance(100 * MILLISECOND);
@@ -26,7 +26,7 @@
 
 /// Ends calls to the counter with totals that leave the account's bucket empty.
 fn exhaust_quota(node: &mut NodeUnderTest) {
-    let first = counter_call(&node.request(SAFE, 1.0).actions).expect("a call to the counter");
+    let first = counter_call(&node.request(SAFE, 1.0).actions).expect("expected a counter call");
     let mut actions = node.end_counter_call(first, Outcome::Ok, 500.0);
     while let Some(call) = counter_call(&actions) {
         actions = node.end_counter_call(call, Outcome::Ok, 490.0);
@@ -37,7 +37,8 @@
 /// deferred.
 fn first_deferral(node: &mut NodeUnderTest) -> Option<Micros> {
     for _ in 0..12 {
-        let deferral = rejection(&node.request(SAFE, 1.0).actions).filter(|&retry_after| retry_after > 0);
+        let deferral =
+            first_retry_after(&node.request(SAFE, 1.0).actions).filter(|&retry_after| retry_after > 0);
         if deferral.is_some() {
             return deferral;
         }
@@ -70,7 +71,7 @@
 #[test]
 fn steady_demand_gets_burst_plus_rate_and_no_more() {
     let mut node = NodeUnderTest::new(settings_with_quota(), 4);
-    let mut counter = FakeCounter::default();
+    let mut counter = InMemoryCounter::default();
     let units = send_steadily(&mut node, &mut counter, 60);
     let quota = 12.0 + 2.0 * 60.0;
     assert!((0.85 * quota..=1.05 * quota).contains(&units), "{units} units admitted, the quota is {quota}");
@@ -78,7 +79,7 @@
 
 #[test]
 fn two_nodes_share_one_quota() {
-    let mut counter = FakeCounter::default();
+    let mut counter = InMemoryCounter::default();
     let mut first = NodeUnderTest::new(settings_with_quota(), 4);
     let mut second = NodeUnderTest::new(settings_with_quota(), 4);
     let mut units = 0.0;
@@ -94,9 +95,9 @@
 #[test]
 fn flushed_counter_does_not_grant_the_burst_again() {
     let mut node = NodeUnderTest::new(settings_with_quota(), 4);
-    let mut counter = FakeCounter::default();
+    let mut counter = InMemoryCounter::default();
     send_steadily(&mut node, &mut counter, 20);
-    counter.flush();
+    counter.delete_all();
     let units = send_steadily(&mut node, &mut counter, 5);
     assert!(units <= 2.0 * 5.0 + 4.0, "{units} units admitted in 5 s after the flush, expected at most 14");
 }
@@ -106,7 +107,7 @@
     let mut node = NodeUnderTest::new(settings_with_quota(), 4);
     let request = node.request(SAFE, 2.0);
     assert!(started_attempts(&request.actions).is_empty());
-    let call = counter_call(&request.actions).expect("a call for a lease");
+    let call = counter_call(&request.actions).expect("expected a call for a lease, got none");
     assert!(call.amount >= 2.0);
     let actions = node.end_counter_call(call, Outcome::Ok, call.amount);
     assert_eq!(started_attempts(&actions)[0].request, request.id);
@@ -115,7 +116,7 @@
 #[test]
 fn unresponsive_counter_limits_admission_to_the_even_share() {
     let mut node = NodeUnderTest::new(settings_with_quota(), 4);
-    let call = counter_call(&node.request(SAFE, 1.0).actions).expect("a call to the counter");
+    let call = counter_call(&node.request(SAFE, 1.0).actions).expect("expected a counter call");
     let actions = node.end_counter_call(call, Outcome::TimedOut, 0.0);
     assert_eq!(started_attempts(&actions).len(), 1, "expected one attempt, admitted by the even share");
     let mut admitted = 1;
@@ -133,14 +134,14 @@
     settings.plans[0].quota_units_per_second = 100.0;
     settings.plans[0].burst_units = 600.0;
     let mut node = NodeUnderTest::new(settings, 4);
-    let mut counter = FakeCounter::default();
+    let mut counter = InMemoryCounter::default();
     send_steadily(&mut node, &mut counter, 5);
     let mut most_in_flight = 0;
     for _ in 0..20 {
         node.advance(SECOND);
-        node.tick();
+        node.fire_timer();
         let attempts = attempts_during_counter_timeouts(&mut node, 10);
-        // For a short time, the totals from before the time-outs still show that no other node has attempts
+        // For a short time, the totals from before the timeouts still show that no other node has attempts
         // in flight.
         if node.now >= 110 * SECOND {
             most_in_flight = most_in_flight.max(attempts.len());
@@ -158,9 +159,9 @@
 #[test]
 fn units_beyond_the_bucket_are_released() {
     let mut node = NodeUnderTest::new(settings_with_quota(), 4);
-    let call = counter_call(&node.request(SAFE, 1.0).actions).expect("a call to the counter");
+    let call = counter_call(&node.request(SAFE, 1.0).actions).expect("expected a counter call");
     let actions = node.end_counter_call(call, Outcome::Ok, call.amount + 1.0 * 12.0 + 2.0 * 60.0);
-    let release = counter_call(&actions).expect("a call that releases units");
+    let release = counter_call(&actions).expect("expected a call that releases units, got none");
     assert!(release.amount < 0.0);
 }
 
@@ -170,7 +171,7 @@
     exhaust_quota(&mut node);
     let mut retry_afters = Vec::new();
     for _ in 0..12 {
-        retry_afters.extend(rejection(&node.request(SAFE, 1.0).actions));
+        retry_afters.extend(first_retry_after(&node.request(SAFE, 1.0).actions));
     }
     let deferrals: Vec<Micros> = retry_afters.iter().copied().filter(|&time| time > 0).collect();
     assert!(deferrals.len() >= 2, "expected at least 2 deferrals: {retry_afters:?}");
@@ -179,13 +180,13 @@
         "expected each deferral after the previous one: {retry_afters:?}"
     );
     assert_eq!(
-        *retry_afters.last().expect("at least one rejection"),
+        *retry_afters.last().expect("expected at least one rejection, got none"),
         0,
         "expected no `Retry-After` time beyond the bound D on outstanding deferrals: {retry_afters:?}"
     );
     node.advance(deferrals[0] + MILLISECOND);
     let retry = node.retry(SAFE, 12.0);
-    assert!(rejection(&retry.actions).is_none_or(|retry_after| retry_after == 0));
+    assert!(first_retry_after(&retry.actions).is_none_or(|retry_after| retry_after == 0));
 }
 
 #[test]
@@ -194,7 +195,7 @@
     // than the longest `Retry-After` time that clients follow.
     let mut node = NodeUnderTest::new(settings_with_quota(), 4);
     exhaust_quota(&mut node);
-    assert_eq!(rejection(&node.request(SAFE, 6.0).actions), Some(0));
+    assert_eq!(first_retry_after(&node.request(SAFE, 6.0).actions), Some(0));
 }
 
 #[test]
@@ -203,7 +204,7 @@
     settings.limits.retry_after_allowed = false;
     let mut node = NodeUnderTest::new(settings, 4);
     exhaust_quota(&mut node);
-    assert_eq!(rejection(&node.request(SAFE, 1.0).actions), Some(0));
+    assert_eq!(first_retry_after(&node.request(SAFE, 1.0).actions), Some(0));
 }
 
 #[test]
@@ -220,7 +221,7 @@
         let mut node = NodeUnderTest::new(settings, 2);
         let actions = node.request(SAFE, 1.0).actions;
         let is_decided = started_attempts(&actions).len() == 1
-            || rejection(&actions).is_some()
+            || first_retry_after(&actions).is_some()
             || counter_call(&actions).is_some();
         assert!(
             is_decided,
@@ -233,13 +234,13 @@
 fn same_events_lead_to_the_same_actions() {
     let run = || {
         let mut node = NodeUnderTest::new(settings_with_quota(), 4);
-        let mut counter = FakeCounter::default();
+        let mut counter = InMemoryCounter::default();
         let mut all_actions = Vec::new();
         for step in 0..200u64 {
             node.advance(10 * MILLISECOND + step);
             let request = node.request((step % 3) as usize, 1.0);
             all_actions.extend(counter.reply_to_all(&mut node, request.actions));
-            all_actions.extend(node.tick());
+            all_actions.extend(node.fire_timer());
         }
         all_actions
     };
@@ -253,12 +254,12 @@
     assert!(first_deferral(&mut first).is_some(), "expected a deferral at the first node");
     let mut other = NodeUnderTest::new(settings_with_fast_quota(), 4);
     let call = counter_call(&other.retry(SAFE, 1.0).actions)
-        .expect("a call for units by the other node, which does not know of the deferral");
+        .expect("expected a call for units by the other node, which does not know of the deferral, got none");
     assert_eq!(started_attempts(&other.end_counter_call(call, Outcome::Ok, call.amount)).len(), 1);
     let mut exhausted = NodeUnderTest::new(settings_with_fast_quota(), 4);
     exhaust_quota(&mut exhausted);
     assert!(first_deferral(&mut exhausted).is_some());
-    assert_eq!(rejection(&exhausted.retry(SAFE, 1.0).actions), Some(0));
+    assert_eq!(first_retry_after(&exhausted.retry(SAFE, 1.0).actions), Some(0));
 }
 
 #[test]
@@ -266,13 +267,13 @@
     // If a node kept its lease at shutdown, the units would be lost to the account until the end of the
     // window.
     let mut node = NodeUnderTest::new(settings_with_quota(), 4);
-    let mut counter = FakeCounter::default();
+    let mut counter = InMemoryCounter::default();
     let request = node.request(SAFE, 1.0);
-    let lease = counter_call(&request.actions).expect("a call for a lease");
+    let lease = counter_call(&request.actions).expect("expected a call for a lease, got none");
     assert_eq!(started_attempts(&counter.reply_to_all(&mut node, request.actions)).len(), 1);
     node.advance(MILLISECOND);
     let release = counter_call(&node.event(Event::ShutdownStarted))
-        .expect("a call that releases the rest of the lease");
+        .expect("expected a call that releases the rest of the lease, got none");
     assert_eq!(release.amount, 1.0 - lease.amount);
     assert_eq!(counter_call(&node.event(Event::ShutdownStarted)), None, "expected no second release");
 }
@@ -301,14 +302,14 @@
     let mut units = 0.0;
     for _ in 0..3 {
         let mut node = NodeUnderTest::new(settings.clone(), 4);
-        let mut counter = FakeCounter::default();
+        let mut counter = InMemoryCounter::default();
         units += send_steadily(&mut node, &mut counter, 2);
     }
     assert!(units <= 20.4 + 3.4 * 6.0, "{units} units admitted over three restarts, the ceiling allows 40.8");
 }
 
 /// Sends a request of one unit and completes it if it is admitted. Returns the units admitted.
-fn send_and_complete(node: &mut NodeUnderTest, counter: &mut FakeCounter) -> usize {
+fn send_and_complete(node: &mut NodeUnderTest, counter: &mut InMemoryCounter) -> usize {
     let request = node.request(SAFE, 1.0);
     let attempts = started_attempts(&counter.reply_to_all(node, request.actions));
     for attempt in &attempts {
@@ -319,7 +320,7 @@
 
 #[test]
 fn overflow_of_an_account_with_few_requests_is_not_spent_on_top_of_the_burst() {
-    let mut counter = FakeCounter::default();
+    let mut counter = InMemoryCounter::default();
     // The account uses half of its rate for 11 s: the bucket stays full, and one unit per second overflows.
     let mut first_node = NodeUnderTest::new(settings_with_quota(), 4);
     for _ in 0..11 {
@@ -349,8 +350,8 @@
 #[test]
 fn late_counter_reply_grants_its_units_to_the_node() {
     let mut node = NodeUnderTest::new(settings_with_quota(), 4);
-    let mut counter = FakeCounter::default();
-    let call = counter_call(&node.request(SAFE, 1.0).actions).expect("a call to the counter");
+    let mut counter = InMemoryCounter::default();
+    let call = counter_call(&node.request(SAFE, 1.0).actions).expect("expected a counter call");
     assert!(call.amount > 2.0, "the call leases {} units, expected a block of more than 2", call.amount);
     let total = counter.add(call.key, call.amount);
     node.advance(30 * MILLISECOND);
@@ -376,7 +377,7 @@
         "expected no actions, since a second reply belongs to no call"
     );
     node.advance(10 * SECOND);
-    let next_call = counter_call(&node.request(SAFE, 1.0).actions).expect("a call to the counter");
+    let next_call = counter_call(&node.request(SAFE, 1.0).actions).expect("expected a counter call");
     assert!(
         next_call.amount > 1.5,
         "the call adds {} units, expected more than 1.5 with the unit of the even share",
@@ -388,7 +389,7 @@
 fn late_replies_of_past_windows_or_of_calls_not_added_grant_nothing() {
     for (outcome, delay) in [(Outcome::Ok, 40 * SECOND), (Outcome::Rejected, 0), (Outcome::Reset, 0)] {
         let mut node = NodeUnderTest::new(settings_with_quota(), 4);
-        let call = counter_call(&node.request(SAFE, 1.0).actions).expect("a call to the counter");
+        let call = counter_call(&node.request(SAFE, 1.0).actions).expect("expected a counter call");
         node.end_counter_call(call, Outcome::TimedOut, 0.0);
         node.advance(delay);
         node.event(Event::LateCounterReply { key: call.key, outcome, total: call.amount });
--- a/tests/restart_readiness.rs
+++ b/tests/restart_readiness.rs
@@ -48,7 +48,7 @@
             configuration = configuration.shared_discovery();
         }
         let killed = configuration.start();
-        let configuration = configuration.text("listen", &killed.address.to_string());
+        let configuration = configuration.set_text("listen", &killed.address.to_string());
         // At the kill the node has two open connections, one of an idle client and one with a request in
         // flight. The kernel still holds them when the restarted node listens on the same port.
         let mut idle_client = killed.connect();
@@ -87,7 +87,7 @@
     let mut call = agent.next_request();
     call.send_half_response(&list);
     assert_ready(&edge);
-    while !call.message.first.contains("after=5&") {
+    while !call.message.start_line.contains("after=5&") {
         // The first call has received half of its response and may end in any way.
         call = agent.next_request();
         call.send_response("200 OK", &list);
--- a/tests/shutdown_schedule.rs
+++ b/tests/shutdown_schedule.rs
@@ -8,7 +8,7 @@
 use edge_node::net::shutdown_schedule::{ShutdownSchedule, MIN_FLUSH_TIME};
 
 #[test]
-fn each_step_has_its_time_and_all_precede_the_kill_whatever_the_deadlines() {
+fn shutdown_steps_keep_their_order_and_precede_the_kill_for_any_timeout() {
     for timeout_ms in (0..5_000).step_by(10) {
         let killed_at = Duration::from_millis(timeout_ms.min(3_000) + 700);
         let schedule = ShutdownSchedule::new(Duration::from_millis(timeout_ms));
