--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -14,7 +14,7 @@
 /// A retry that cannot meet its latency objective is still served if late responses of its class earn at
 /// least this share of the weight.
 const MIN_LATE_WEIGHT: f64 = 0.5;
-/// Longest wait of a request for the counter, in multiples of the counter's timeout: one for a call, one for
+/// Maximum wait of a request for the counter, in multiples of the counter's timeout: one for a call, one for
 /// its reread, and one more.
 const MAX_COUNTER_WAIT_TIMEOUTS: u64 = 3;
 /// Two timeouts of a client count as equal if they differ by less than the timeout divided by this number.
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns whether `remaining` is about all the time that clients give a first request of the class.
+    /// Returns whether `remaining` is about as long as clients wait for a first request of the class.
     /// Returns `false` if no first request of the class is known.
     fn is_full_timeout(&self, class: usize, remaining: Micros) -> bool {
         self.by_class
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Decides without the counter on the requests that have waited for it for as long as they may,
-    /// regardless of the state of the calls.
+    /// Decides the requests that have waited for the counter for the maximum time. They are decided without
+    /// the counter, regardless of the state of the calls.
     pub(super) fn end_overdue_counter_waits(&mut self, actions: &mut Vec<Action>) {
         for id in self.overdue_counter_waits() {
             let Some(pending) = self.pending.get(&id) else { continue };
@@ -148,9 +148,9 @@
         let Some(time_until_admission) = time_until_admission else { return LoadDecision::Admit };
         let limits = &self.settings.limits;
         let advises_retry = limits.retry_after_allowed && !request.is_retry;
-        let longest = limits.max_retry_after.max(TICK_INTERVAL);
+        let max_retry_after = limits.max_retry_after.max(TICK_INTERVAL);
         LoadDecision::Shed {
-            retry_after: advises_retry.then(|| time_until_admission.clamp(TICK_INTERVAL, longest)),
+            retry_after: advises_retry.then(|| time_until_admission.clamp(TICK_INTERVAL, max_retry_after)),
         }
     }
 
--- a/src/decision/attempts/final_response.rs
+++ b/src/decision/attempts/final_response.rs
@@ -40,8 +40,8 @@
         self.finish_request(id);
     }
 
-    /// Finishes a request that needs no response any more: it has its final response, or nobody waits for it.
-    /// If an attempt is in flight, the request stays pending until the attempt has ended.
+    /// Finishes a request that no longer needs a response: it has its final response, or no client waits for
+    /// it. If an attempt is in flight, the request stays pending until the attempt has ended.
     pub(in crate::decision) fn finish_request(&mut self, id: &RequestId) {
         let Some(pending) = self.pending.get_mut(id) else { return };
         pending.needs_no_response = true;
--- a/src/decision/attempts/mod.rs
+++ b/src/decision/attempts/mod.rs
@@ -38,9 +38,9 @@
         }
     }
 
-    /// Cancels the attempts that have been in flight for longer than the fleet needs, at endpoints that are
-    /// ejected or answer no request, if the requests may be sent again. The endpoints are ejected. The end of
-    /// a cancelled attempt leads to the next attempt of its request.
+    /// Cancels the attempts that have been in flight for longer than the latency bound, at endpoints that are
+    /// ejected or unresponsive, if the requests may be sent again. Ejects these endpoints. The end of a
+    /// cancelled attempt leads to the next attempt of its request.
     pub(super) fn cancel_stuck_attempts(&mut self, actions: &mut Vec<Action>) {
         for stuck in self.find_stuck_attempts() {
             self.balancer.eject(stuck.endpoint, self.now);
--- a/src/decision/attempts/pending_request.rs
+++ b/src/decision/attempts/pending_request.rs
@@ -30,7 +30,7 @@
     pub first_possible_run: Option<Attempt>,
     /// Whether the request is in its account's queue for the reply of the counter.
     pub waits_for_counter: bool,
-    /// Whether the request has its final response or nobody waits for it.
+    /// Whether the request has its final response or no client waits for it.
     pub needs_no_response: bool,
     /// Whether a part of the response was sent to the client.
     pub response_started: bool,
--- a/src/decision/balancer/cost.rs
+++ b/src/decision/balancer/cost.rs
@@ -57,7 +57,7 @@
     /// Mean response time of the fleet in microseconds.
     fleet_mean_latency: f64,
     /// Weight of a random number relative to the node's own load counts, 0 to 1. Without it, a node with
-    /// next to nothing in flight would always select the endpoint with the greatest capacity.
+    /// almost no attempts in flight would always select the endpoint with the greatest capacity.
     exploration: f64,
     /// `None` if all shares are negligible.
     fleet_failures: Option<FleetFailures>,
--- a/src/decision/balancer/endpoint.rs
+++ b/src/decision/balancer/endpoint.rs
@@ -91,8 +91,9 @@
     }
 
     /// Returns when the attempts in flight were sent, the earliest first, without those sent before the end
-    /// of the latest ejection. An attempt that hung then stays in flight if its request must not be retried;
-    /// if it counted, the endpoint would not be used until long after it has recovered.
+    /// of the latest ejection. An attempt of that time that gets no response stays in flight if its request
+    /// must not be retried. If such an attempt counted, the endpoint would not be used until long after it
+    /// has recovered.
     pub fn in_flight_since_ejection(&self) -> impl Iterator<Item = Micros> + '_ {
         self.in_flight.iter().copied().filter(|&sent_at| sent_at >= self.ejected_until)
     }
--- a/src/decision/balancer/failure_shares.rs
+++ b/src/decision/balancer/failure_shares.rs
@@ -58,10 +58,10 @@
     unanswered: bool,
 ) -> impl Iterator<Item = FailureSample> {
     let succeeded = outcome == Outcome::Ok;
-    let refused = matches!(outcome, Outcome::Error | Outcome::Rejected);
+    let failed_with_response = matches!(outcome, Outcome::Error | Outcome::Rejected);
     let samples = [
-        FailureSample { kind: FailureKind::Class(class), failed: refused },
-        FailureSample { kind: FailureKind::Plan(plan), failed: refused },
+        FailureSample { kind: FailureKind::Class(class), failed: failed_with_response },
+        FailureSample { kind: FailureKind::Plan(plan), failed: failed_with_response },
         FailureSample { kind: FailureKind::Unanswered, failed: unanswered },
     ];
     samples.into_iter().filter(move |sample| sample.failed || succeeded)
--- a/src/decision/balancer/mod.rs
+++ b/src/decision/balancer/mod.rs
@@ -60,7 +60,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct Selection {
     pub endpoint: EndpointId,
-    /// The least share of its full capacity that the endpoint has, 0 to 1.
+    /// Lower bound of the share of its full capacity that the endpoint has, 0 to 1.
     pub warm_fraction: f64,
     /// The kind of recovery test that the attempt is; `None` if the endpoint is not recovering.
     recovery_test: Option<RecoveryTest>,
--- a/src/decision/balancer/outlier_detection.rs
+++ b/src/decision/balancer/outlier_detection.rs
@@ -65,7 +65,7 @@
     /// Counts connection resets and returns whether those of the endpoint are unusual.
     ///
     /// On a lossy network, or where endpoints close idle connections early, connections break at all
-    /// endpoints alike. If each were ejected for one reset, most of a fleet that answers would be ejected.
+    /// endpoints alike. If each were ejected for one reset, most of a fleet that responds would be ejected.
     /// The resets of an endpoint since its last response are therefore weighed by how rare resets are in the
     /// fleet; where they are rare, one reset is enough. The drawback: where endpoints fail while many others
     /// reset connections, each failed endpoint takes two or three more attempts before it is ejected.
--- a/src/decision/balancer/recovery.rs
+++ b/src/decision/balancer/recovery.rs
@@ -23,7 +23,7 @@
 
 /// Number of tests that each request adds to the budget for requests that are not safe.
 const TESTS_PER_REQUEST: f64 = 0.1;
-/// The most tests that the budget holds.
+/// Maximum number of tests that the budget holds.
 const MAX_SAVED_TESTS: f64 = 2.0;
 
 /// Bounds the recovery tests by requests that are not safe to a share of all requests.
--- a/src/decision/balancer/selection.rs
+++ b/src/decision/balancer/selection.rs
@@ -31,8 +31,8 @@
 /// Whether slow start gives an endpoint precedence. The lesser value is preferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Precedence {
-    /// It is warming up and due a request. By cost it would always lose to the best of the warm endpoints,
-    /// which would be overloaded.
+    /// It is warming up and due a request. Ranked by cost alone, it would always lose to the best of the
+    /// warm endpoints, and these would be overloaded.
     WarmingUpAndDue,
     Ordinary,
 }
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct Candidate {
     pub endpoint: EndpointId,
-    /// The least share of its full capacity that the endpoint has, 0 to 1.
+    /// Lower bound of the share of its full capacity that the endpoint has, 0 to 1.
     pub warm_fraction: f64,
     /// The endpoint is recovering, so the attempt tests whether it serves again.
     pub is_recovery_test: bool,
@@ -166,7 +166,8 @@
         })
     }
 
-    /// Returns whether neither deduplication nor the request rules out the endpoint.
+    /// Returns whether the endpoint is in the group to which the attempt is bound, if any, and is not
+    /// excluded.
     fn is_allowed(&self, endpoint: &EndpointBalancingState) -> bool {
         let in_bound_group = self.bound_to.is_none_or(|group| group.contains(&endpoint.entry));
         in_bound_group && Some(endpoint.entry.id) != self.exclude
--- a/src/decision/balancer/slow_start.rs
+++ b/src/decision/balancer/slow_start.rs
@@ -8,10 +8,10 @@
 use crate::decision::estimators::{RandomSource, TokenBucket, MICROS_PER_SECOND};
 use crate::decision::{Micros, WarmUp};
 
-/// Greatest factor on the guaranteed share of capacity of an endpoint that is faster than the fleet. The
-/// factor is half the overload multiple where that is less, but not below 1.
+/// Maximum factor by which the warm fraction of an endpoint that is faster than the fleet is multiplied. The
+/// factor is half the overload multiple if that is less, but not below 1.
 const MAX_SPEED_FACTOR: f64 = 1.5;
-/// The most requests that the slow-start bucket of an endpoint holds.
+/// Maximum number of requests that the slow-start bucket of an endpoint holds.
 const MAX_SAVED_REQUESTS: f64 = 1.5;
 
 /// Counts the requests that a warm endpoint of the subset was due. The token buckets of endpoints that are
@@ -56,10 +56,10 @@
     }
 }
 
-/// Returns the least share of its full capacity that an endpoint has at `now`, 0 to 1. The share rises with
-/// the time since the endpoint's start; it is greater if the endpoint responds faster than the fleet, whose
-/// mean response time is `fleet_mean_latency` microseconds. Without a start time or a warm-up duration it is
-/// 1.
+/// Returns a lower bound of the share of its full capacity that an endpoint has at `now`, 0 to 1. The share
+/// rises with the time since the endpoint's start; it is greater if the endpoint responds faster than the
+/// fleet, whose mean response time is `fleet_mean_latency` microseconds. Without a start time or a warm-up
+/// duration it is 1.
 pub(super) fn warm_fraction(
     rules: &WarmUp,
     endpoint: &EndpointBalancingState,
--- a/src/decision/deferral.rs
+++ b/src/decision/deferral.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Limits the horizon to `max_retry_after`, the longest time that clients follow.
+    /// Limits the horizon to `max_retry_after`, the maximum time that clients follow.
     pub fn with_horizon_up_to(self, max_retry_after: Micros) -> Self {
         DeferralTerms { horizon: self.horizon.min(max_retry_after as f64), ..self }
     }
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -130,12 +130,12 @@
     RequestReceived(NewRequest),
     /// The first part of a streamed response was sent to the client.
     ResponseStarted {
-        /// The request that is being answered.
+        /// The request that the response belongs to.
         request: RequestId,
     },
     /// An attempt ended.
     AttemptEnded(EndedAttempt),
-    /// Nobody waits for the response any more: the client disconnected or its deadline has passed.
+    /// No client waits for the response any longer: the client disconnected or its deadline has passed.
     ClientDisconnected {
         /// The request whose response is no longer needed.
         request: RequestId,
--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -13,13 +13,13 @@
 const RESPONSE_TIME_CONSTANT: f64 = 4.0e6;
 /// Weight of the mean response time in the expected response time, as a number of attempts in flight.
 const MEAN_RESPONSE_TIME_WEIGHT: f64 = 3.0;
-/// Least startup correction that the rate of responses is divided by. It corresponds to a node whose age is
-/// this share of the time constant of the rate.
+/// Lower bound of the startup correction, by which the rate of responses is divided. It corresponds to a node
+/// whose age is this share of the time constant of the rate.
 const MIN_STARTUP_CORRECTION: f64 = 1e-3;
 /// Lower bound of the greatest weight and of the greatest weight factor, which are used as divisors.
 const MIN_WEIGHT: f64 = 1e-9;
 /// A request of the least weight is shed if its expected response time exceeds this share of the latency
-/// objective. A greater share admits more requests, of which more are answered late. A smaller share sheds
+/// objective. A greater share admits more requests, more of which get a late response. A smaller share sheds
 /// more requests early.
 pub(super) const MIN_SHED_THRESHOLD: f64 = 0.25;
 /// The same share for requests of the greatest weight.
@@ -61,10 +61,10 @@
     /// microseconds. Returns `None` if the request is admitted now. A request whose plan is not in the
     /// settings is always admitted.
     ///
-    /// In a fully loaded fleet every request would be answered late, so requests are shed, those of the
+    /// In a fully loaded fleet every response would be late, so requests are shed, those of the
     /// least weight first. Overload is detected by the attempts in flight now, so that an idle fleet always
     /// admits requests. If it were detected by past response times alone, an idle fleet could reject requests
-    /// for ever.
+    /// forever.
     pub fn time_until_admission(
         &self,
         settings: &Settings,
--- a/src/decision/quota/counter_calls.rs
+++ b/src/decision/quota/counter_calls.rs
@@ -41,7 +41,7 @@
 #[derive(Default)]
 pub(super) struct CounterCalls {
     in_flight: BTreeMap<CounterKey, AccountId>,
-    /// Calls that timed out and may still be answered, by key, the oldest first.
+    /// Calls that timed out and may still get a reply, by key, the oldest first.
     timed_out: BTreeMap<CounterKey, VecDeque<TimedOutCall>>,
 }
 
--- a/src/decision/quota/mod.rs
+++ b/src/decision/quota/mod.rs
@@ -278,7 +278,7 @@
         self.accounts.retain(|_, account| !account.can_be_dropped(settings.plans.get(account.plan), now));
     }
 
-    /// Drops timed-out calls whose late replies are of no use any more.
+    /// Drops timed-out calls whose late replies are no longer of use.
     pub fn drop_expired_calls(&mut self, now: Micros) {
         self.calls.drop_expired(now);
     }
--- a/src/decision/quota/speculation.rs
+++ b/src/decision/quota/speculation.rs
@@ -128,7 +128,7 @@
     /// from the balance. Returns whether the request was admitted.
     ///
     /// While calls to the counter fail repeatedly, the admission is free: no better information is available,
-    /// and payment would protect nobody's quota.
+    /// and payment would protect no quota.
     pub fn try_admit(
         &mut self,
         assessment: &Assessment,
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -81,7 +81,7 @@
     pub probes_allowed: bool,
     /// Whether rejections may carry a `Retry-After` time.
     pub retry_after_allowed: bool,
-    /// The longest `Retry-After` time that clients follow.
+    /// Maximum `Retry-After` time that clients follow.
     pub max_retry_after: Micros,
     /// Maximum number of attempts for one request.
     pub max_attempts: u32,
@@ -101,9 +101,9 @@
 /// How an endpoint warms up after a start, and how much load it can take meanwhile.
 #[derive(Debug, Clone, Default)]
 pub struct WarmUp {
-    /// Least share of its full capacity that an endpoint has right after its start, 0 to 1.
+    /// Minimum share of its full capacity that an endpoint has right after its start, 0 to 1.
     pub initial_fraction: f64,
-    /// Longest time after its start until an endpoint has its full capacity.
+    /// Maximum time after its start until an endpoint has its full capacity.
     pub duration: Micros,
     /// An endpoint that is warming up fails if it is sent this multiple of its capacity for
     /// `overload_duration`.
@@ -121,13 +121,13 @@
     pub node_count: u32,
     /// Identifies the zone that this node is in.
     pub zone: u32,
-    /// Least time between two batches of events from the simulator. Not used by the decisions.
+    /// Minimum time between two batches of events from the simulator. Not used by the decisions.
     pub batch_interval: Micros,
     /// Whether the node has to poll the endpoint list; otherwise the list is pushed.
     pub polls_endpoint_list: bool,
     /// Whether clients mark their retries. Not used by the decisions.
     pub clients_mark_retries: bool,
-    /// The greatest number of units that one request uses. Not used by the decisions.
+    /// Maximum number of units that one request uses. Not used by the decisions.
     pub max_request_units: f64,
     /// Whether the actual units of a request are known only with its response. Not used by the decisions.
     pub units_settled_after: bool,
--- a/src/net/descriptor_budget.rs
+++ b/src/net/descriptor_budget.rs
@@ -235,7 +235,7 @@
         self.unclassified.set(self.unclassified.get() + 1);
     }
 
-    /// Ends the count of a client connection as unclassified: it has sent a request, has been without one for
+    /// Stops counting a client connection as unclassified: it has sent a request, has been without one for
     /// long enough to count as idle, or is closed.
     pub fn connection_classified(&self) {
         self.unclassified.set(self.unclassified.get() - 1);
--- a/src/net/discovery/apply.rs
+++ b/src/net/discovery/apply.rs
@@ -200,8 +200,8 @@
         Ok(ApplyOutcome::Applied)
     }
 
-    /// Prepares a long list on another thread, again if the endpoints have changed meanwhile, and then
-    /// publishes it.
+    /// Prepares a long list on another thread and publishes it. If the endpoints change while the list is
+    /// being prepared, the preparation is repeated.
     async fn apply_long(
         self: Rc<Self>,
         events: Rc<dyn EventSink>,
--- a/src/net/discovery/schedule.rs
+++ b/src/net/discovery/schedule.rs
@@ -81,7 +81,8 @@
     }
 
     /// Returns the next pause, which is at most `max_pause`. If all long pauses were cut to the same length,
-    /// all nodes would call in step, so the last part of a pause that reaches the limit is drawn at random.
+    /// all nodes would call at the same times, so the last part of a pause that reaches the limit is drawn at
+    /// random.
     fn limited_pause(&mut self, max_pause: Duration) -> Duration {
         let pause = self.backoff.next_pause();
         if pause < max_pause {
--- a/src/net/downstream/connection.rs
+++ b/src/net/downstream/connection.rs
@@ -152,7 +152,7 @@
 
     /// Returns whether the connection is closing and no request is in progress, read in part or unread.
     fn ready_to_close(&self) -> bool {
-        self.state.is_closing() && self.state.nothing_under_way() && !socket::has_unread_bytes(&self.stream)
+        self.state.is_closing() && self.state.has_no_request() && !socket::has_unread_bytes(&self.stream)
     }
 
     /// Drives a connection after its graceful shutdown until it has written what is left. Returns earlier if
--- a/src/net/downstream/connection_state.rs
+++ b/src/net/downstream/connection_state.rs
@@ -202,7 +202,7 @@
 
     /// Returns whether no request is in progress, none was read in part, and the connection is not so new
     /// that its first request may still be unread.
-    pub fn nothing_under_way(&self) -> bool {
+    pub fn has_no_request(&self) -> bool {
         !self.request_in_progress.get() && !self.pipeline.borrow().has_partial_request() && !self.is_new.get()
     }
 
@@ -214,7 +214,7 @@
             && head_started_at.is_some_and(|started_at| started_at.elapsed() > HEAD_TIMEOUT)
     }
 
-    /// Ends the connection's count as unclassified in the budget, unless it has ended before.
+    /// Stops counting the connection as unclassified in the budget, unless this was done before.
     fn mark_classified(&self) {
         if self.is_new.replace(false) {
             self.budget.connection_classified();
--- a/src/net/downstream/listener.rs
+++ b/src/net/downstream/listener.rs
@@ -21,7 +21,7 @@
 use crate::net::event_loop::EventLoop;
 
 /// The longest time that the node waits for the first endpoint list before it accepts connections. A
-/// discovery agent that is up answers immediately; one that does not respond must not keep clients waiting.
+/// discovery agent that is up responds immediately; one that does not respond must not keep clients waiting.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(250);
 /// The pause after a failure to accept a connection.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
--- a/src/net/downstream/request_bytes_stream.rs
+++ b/src/net/downstream/request_bytes_stream.rs
@@ -17,7 +17,7 @@
 pub struct RequestBytesStream {
     /// The socket.
     pub stream: Rc<TcpStream>,
-    /// The state of the connection, which is told of all bytes read.
+    /// The state of the connection, in which all bytes read are recorded.
     pub state: Rc<ConnectionState>,
 }
 
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -134,7 +134,7 @@
         self.clock.instant(deadline.saturating_sub(RESPONSE_MARGIN))
     }
 
-    /// Records that no client waits for this request any more, because it has disconnected or the deadline
+    /// Records that no client waits for this request any longer, because it has disconnected or the deadline
     /// has passed. Does nothing if the request already has its final response.
     pub fn client_disconnected(&self, id: &RequestId) {
         let responder = self.open_requests.borrow_mut().take_responder(id);
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Drops the pools whose connections do not lead to a known endpoint any more, and closes the idle
+    /// Drops the pools whose connections no longer lead to a known endpoint, and closes the idle
     /// connections to endpoints that take no new requests.
     pub(super) fn retain_known(&self, known: &KnownEndpoints) {
         self.by_endpoint.borrow_mut().retain(|&id, pool| {
--- a/src/net/upstream/reuse.rs
+++ b/src/net/upstream/reuse.rs
@@ -37,9 +37,9 @@
 
 /// The idle time up to which connections are reused.
 ///
-/// Endpoints or middleboxes in front of them may drop idle connections long before they announce it. The node
-/// notices this only after it has written a request, and a request that may have run and must not run twice
-/// fails. If connections with long idle times break by chance for a while, each request opens a new
+/// Endpoints or middleboxes in front of them may drop idle connections long before they signal the close. The
+/// node notices this only after it has written a request, and a request that may have run and must not run
+/// twice fails. If connections with long idle times break by chance for a while, each request opens a new
 /// connection until the counts have decayed.
 pub struct ReuseLimit {
     /// The counts for new connections.
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -2,7 +2,7 @@
 //! message contain, and converts it to [`Settings`].
 //!
 //! Times are in microseconds, and rates are in units of quota per second. An optional setting that is missing
-//! has the default of its type: zero, `false`, an empty list or an empty text. The two time-outs of
+//! has the default of its type: zero, `false`, an empty list or an empty text. The two timeouts of
 //! connections have defaults of their own, which also apply if their value is zero. Unknown settings are
 //! ignored.
 
@@ -14,7 +14,7 @@
 
 /// The value of `registry_mode` with which a node polls the endpoint list.
 const POLLED_LIST: &str = "ask";
-/// Time-out for establishing a connection to an endpoint, if the settings name none.
+/// Timeout for establishing a connection to an endpoint, if the settings name none.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
 /// Time after which endpoints close an idle connection, if the settings name none.
 const DEFAULT_CONNECTION_IDLE_TIMEOUT: Micros = 10_000_000;
@@ -44,7 +44,7 @@
     /// The names of the machine kinds. The index of a name in this list is the number of its machine kind.
     #[serde(default, rename = "kinds")]
     pub machine_kinds: Vec<String>,
-    /// What a node may do, the maximum number of attempts, and time-outs.
+    /// What a node may do, the maximum number of attempts, and timeouts.
     #[serde(rename = "bounds")]
     pub limits: LimitsDocument,
     /// How requests are counted against quotas.
@@ -88,7 +88,7 @@
     pub max_request_units: f64,
 }
 
-/// The serialized form of [`Limits`], with the idle time-out of connections to endpoints.
+/// The serialized form of [`Limits`], with the idle timeout of connections to endpoints.
 #[derive(Deserialize)]
 pub struct LimitsDocument {
     /// 0 if the settings name no time.
--- a/src/protocol/simulator/incoming.rs
+++ b/src/protocol/simulator/incoming.rs
@@ -73,7 +73,7 @@
     /// An attempt ended.
     #[serde(rename = "Ended")]
     AttemptEnded(AttemptEndMessage),
-    /// No client waits for the response any more.
+    /// No client waits for the response any longer.
     #[serde(rename = "Expired")]
     ClientDisconnected {
         /// The id of the request.
--- a/tests/balancer_scaling.rs
+++ b/tests/balancer_scaling.rs
@@ -167,8 +167,8 @@
             end_after(&mut node, &attempt, Outcome::Ok, 100 * MILLISECOND);
         }
     }
-    // With random selection the endpoint would get 33 requests. Failures are forgotten within the minute, so
-    // it still gets requests that show whether it has recovered.
+    // With random selection the endpoint would get 33 requests. Failures lose their weight within the minute,
+    // so it still gets requests that show whether it has recovered.
     assert!(
         (1..=10).contains(&received),
         "{received} of 400 requests went to the endpoint that drops half of them; expected 1 to 10"
--- a/tests/node_descriptor_limit.rs
+++ b/tests/node_descriptor_limit.rs
@@ -1,7 +1,7 @@
 //! A node with fewer descriptors than clients must go on serving requests.
 //!
-//! Idle connections, silent connections and connections with unfinished requests could hold all descriptors
-//! and block other clients.
+//! Idle connections, connections without requests and connections with unfinished requests could hold all
+//! descriptors and block other clients.
 
 mod fakes;
 
@@ -68,13 +68,13 @@
     let SmallNode { endpoint, edge } = small_node();
     let mut regular = edge.connect();
     assert_served_by(&endpoint, &mut regular, &request("post", "first"));
-    let mut silent_clients = Vec::new();
+    let mut clients_without_request = Vec::new();
     for number in 0..5 {
-        // In each round there are more silent clients than descriptors, and the connection in use must stay
-        // open. The new client sends its request before the node runs: if it sent after the response to the
-        // regular client, it would be silent as well.
+        // In each round there are more clients without a request than descriptors, and the connection in use
+        // must stay open. The new client sends its request before the node runs: if it sent after the
+        // response to the regular client, it would be a client without a request as well.
         let mut new_client = edge.while_suspended(|| {
-            silent_clients.extend((0..30).map(|_| edge.connect()));
+            clients_without_request.extend((0..30).map(|_| edge.connect()));
             let mut client = edge.connect();
             client.send(&request("post", &format!("new-{number}")));
             client
@@ -106,7 +106,7 @@
         client.send_raw(text);
         client
     };
-    let (_crowd, mut client, mut undisturbed_client) = edge.while_suspended(|| {
+    let (_partial_clients, mut client, mut undisturbed_client) = edge.while_suspended(|| {
         let partial_clients: [Client; HALF_SENT_CLIENTS] = from_fn(|_| send_to(&edge, half_sent));
         let client = send_to(&edge, &request("lookup", "l-1").text());
         (partial_clients, client, send_to(&unloaded_node.edge, half_sent))
--- a/tests/partial_requests.rs
+++ b/tests/partial_requests.rs
@@ -42,5 +42,5 @@
     state.request_received();
     assert!(!state.may_give_up_partial_request(|| false));
     state.request_completed();
-    assert!(state.nothing_under_way());
+    assert!(state.has_no_request());
 }
