--- a/src/decision/attempts/mod.rs
+++ b/src/decision/attempts/mod.rs
@@ -27,7 +27,7 @@
     /// the balancer, so it is called once per request.
     pub(super) fn dispatch_admitted(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         self.dispatch(id, actions);
-        self.balancer.request_launched();
+        self.balancer.request_admitted();
     }
 
     /// Sends a request to an endpoint, or makes it wait until an endpoint can take it.
@@ -38,9 +38,9 @@
         }
     }
 
-    /// Cancels the attempts that have been in flight for longer than the fleet needs, at endpoints that are
-    /// ejected or answer no request, if the requests may be sent again. The endpoints are ejected. The end of
-    /// a cancelled attempt leads to the next attempt of its request.
+    /// Cancels the attempts that have been in flight for longer than the latency bound, at endpoints that are
+    /// ejected or unresponsive, if the requests may be sent again. Ejects these endpoints. The end of a
+    /// cancelled attempt leads to the next attempt of its request.
     pub(super) fn cancel_stuck_attempts(&mut self, actions: &mut Vec<Action>) {
         for stuck in self.find_stuck_attempts() {
             self.balancer.eject(stuck.endpoint, self.now);
--- a/src/decision/balancer/outlier_detection.rs
+++ b/src/decision/balancer/outlier_detection.rs
@@ -8,10 +8,10 @@
 use crate::decision::{Micros, Outcome};
 
 /// Duration of the first ejection in microseconds. Each further ejection without a success in between is
-/// twice as long, up to the longest.
-const FIRST_EJECTION: Micros = 400_000;
-const LONGEST_EJECTION: Micros = 6_400_000;
-/// Upper bound of the number of doublings. The ejection time has reached the longest by then.
+/// twice as long, up to the maximum.
+const INITIAL_EJECTION: Micros = 400_000;
+const MAX_EJECTION: Micros = 6_400_000;
+/// Upper bound of the number of doublings. The ejection time has reached the maximum by then.
 const MAX_EJECTION_DOUBLINGS: u32 = 8;
 /// Consecutive connection resets eject an endpoint if the probability that as many occur by chance, at the
 /// fleet's share of resets, is below this value.
@@ -65,7 +65,7 @@
     /// Counts connection resets and returns whether those of the endpoint are unusual.
     ///
     /// On a lossy network, or where endpoints close idle connections early, connections break at all
-    /// endpoints alike. If each were ejected for one reset, most of a fleet that answers would be ejected.
+    /// endpoints alike. If each were ejected for one reset, most of a fleet that responds would be ejected.
     /// The resets of an endpoint since its last response are therefore weighed by how rare resets are in the
     /// fleet; where they are rare, one reset is enough. The drawback: where endpoints fail while many others
     /// reset connections, each failed endpoint takes two or three more attempts before it is ejected.
@@ -116,7 +116,7 @@
     /// long the first one would.
     pub(super) fn latest_ejection_time(&self) -> Micros {
         let doublings = self.consecutive_ejections.saturating_sub(1).min(MAX_EJECTION_DOUBLINGS);
-        (FIRST_EJECTION << doublings).min(LONGEST_EJECTION)
+        (INITIAL_EJECTION << doublings).min(MAX_EJECTION)
     }
 
     /// Returns whether the endpoint is unresponsive while requests wait: since its last response, the oldest
--- a/src/decision/balancer/recovery.rs
+++ b/src/decision/balancer/recovery.rs
@@ -23,7 +23,7 @@
 
 /// Number of tests that each request adds to the budget for requests that are not safe.
 const TESTS_PER_REQUEST: f64 = 0.1;
-/// The most tests that the budget holds.
+/// Maximum number of tests that the budget holds.
 const MAX_SAVED_TESTS: f64 = 2.0;
 
 /// Bounds the recovery tests by requests that are not safe to a share of all requests.
@@ -40,7 +40,7 @@
 }
 
 impl RecoveryTestBudget {
-    /// Adds to the budget for a request that was passed on to an endpoint or waits for one.
+    /// Adds to the budget for a request that was sent to an endpoint or waits for one.
     pub fn deposit(&mut self) {
         self.saved_tests = (self.saved_tests + TESTS_PER_REQUEST).min(MAX_SAVED_TESTS);
     }
--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -13,17 +13,17 @@
 const RESPONSE_TIME_CONSTANT: f64 = 4.0e6;
 /// Weight of the mean response time in the expected response time, as a number of attempts in flight.
 const MEAN_RESPONSE_TIME_WEIGHT: f64 = 3.0;
-/// Least startup correction that the rate of responses is divided by. It corresponds to a node whose age is
-/// this share of the time constant of the rate.
+/// Lower bound of the startup correction, by which the rate of responses is divided. It corresponds to a node
+/// whose age is this share of the time constant of the rate.
 const MIN_STARTUP_CORRECTION: f64 = 1e-3;
 /// Lower bound of the greatest weight and of the greatest weight factor, which are used as divisors.
 const MIN_WEIGHT: f64 = 1e-9;
 /// A request of the least weight is shed if its expected response time exceeds this share of the latency
-/// objective. A greater share admits more requests, of which more are answered late. A smaller share sheds
+/// objective. A greater share admits more requests, more of which get a late response. A smaller share sheds
 /// more requests early.
-pub(super) const LEAST_SHED_THRESHOLD: f64 = 0.25;
+pub(super) const MIN_SHED_THRESHOLD: f64 = 0.25;
 /// The same share for requests of the greatest weight.
-pub(super) const GREATEST_SHED_THRESHOLD: f64 = 0.48;
+pub(super) const MAX_SHED_THRESHOLD: f64 = 0.48;
 
 /// Detects overload by attempts in flight and by response times, both at healthy endpoints.
 #[derive(Default)]
@@ -61,10 +61,10 @@
     /// microseconds. Returns `None` if the request is admitted now. A request whose plan is not in the
     /// settings is always admitted.
     ///
-    /// In a fully loaded fleet every request would be answered late, so requests are shed, those of the
+    /// In a fully loaded fleet every response would be late, so requests are shed, those of the
     /// least weight first. Overload is detected by the attempts in flight now, so that an idle fleet always
     /// admits requests. If it were detected by past response times alone, an idle fleet could reject requests
-    /// for ever.
+    /// forever.
     pub fn time_until_admission(
         &self,
         settings: &Settings,
@@ -114,7 +114,7 @@
     /// Returns the mean of recent response times in microseconds. It includes one sample of half the response
     /// time from which on requests of the least weight are shed.
     fn mean_response_time(&self, settings: &Settings, now: Micros) -> f64 {
-        let prior = shortest_latency_objective(settings) * LEAST_SHED_THRESHOLD / 2.0;
+        let prior = shortest_latency_objective(settings) * MIN_SHED_THRESHOLD / 2.0;
         self.response_times.with_prior(now, prior, RESPONSE_TIME_CONSTANT)
     }
 
@@ -139,7 +139,7 @@
         settings.classes.iter().map(|class| class.priority_weight).fold(MIN_WEIGHT, f64::max);
     let greatest_factor = settings.plans.iter().map(|plan| plan.weight_factor).fold(MIN_WEIGHT, f64::max);
     let relative_weight = class.priority_weight / greatest_weight * plan.weight_factor / greatest_factor;
-    Some(LEAST_SHED_THRESHOLD + (GREATEST_SHED_THRESHOLD - LEAST_SHED_THRESHOLD) * relative_weight)
+    Some(MIN_SHED_THRESHOLD + (MAX_SHED_THRESHOLD - MIN_SHED_THRESHOLD) * relative_weight)
 }
 
 /// Returns the number of attempts in flight that an endpoint is working on.
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -158,14 +158,14 @@
         }
     }
 
-    /// Drops the pools whose connections do not lead to a known endpoint any more, and closes the idle
+    /// Drops the pools whose connections no longer lead to a known endpoint, and closes the idle
     /// connections to endpoints that take no new requests.
     pub(super) fn retain_known(&self, known: &KnownEndpoints) {
         self.by_endpoint.borrow_mut().retain(|&id, pool| {
             let endpoint = known.get(id).filter(|endpoint| pool.leads_to(endpoint));
             // A new endpoint may be listed at the address of a removed one. The connections of this pool lead
             // to the removed one.
-            let is_kept = endpoint.is_some() && !known.address_is_shared(id, pool.address);
+            let is_kept = endpoint.is_some() && !known.is_address_shared(id, pool.address);
             if !is_kept || !endpoint.is_some_and(Endpoint::is_active) {
                 pool.close_idle();
             }
--- a/src/net/upstream/reuse.rs
+++ b/src/net/upstream/reuse.rs
@@ -37,17 +37,17 @@
 
 /// The idle time up to which connections are reused.
 ///
-/// Endpoints or middleboxes in front of them may drop idle connections long before they announce it. The node
-/// notices this only after it has written a request, and a request that may have run and must not run twice
-/// fails. If connections with long idle times break by chance for a while, each request opens a new
+/// Endpoints or middleboxes in front of them may drop idle connections long before they signal the close. The
+/// node notices this only after it has written a request, and a request that may have run and must not run
+/// twice fails. If connections with long idle times break by chance for a while, each request opens a new
 /// connection until the counts have decayed.
 pub struct ReuseLimit {
     /// The counts for new connections.
     new_connections: Cell<EndedRequests>,
     /// The counts for reused connections, by the bucket of their idle time.
     by_idle_time: RefCell<[EndedRequests; IDLE_TIME_BUCKETS]>,
-    /// The index of the first bucket whose connections are not reused; those of all later buckets are not reused
-    /// either. [`IDLE_TIME_BUCKETS`] if there is no limit.
+    /// The index of the first bucket whose connections are not reused; those of all later buckets are not
+    /// reused either. [`IDLE_TIME_BUCKETS`] if there is no limit.
     limit: Cell<usize>,
 }
 
--- a/tests/partial_requests.rs
+++ b/tests/partial_requests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn request_is_given_up_only_if_no_more_of_it_lies_unread() {
+fn partial_request_is_given_up_only_if_none_of_it_is_unread() {
     let half_of_head = connection_with(&HEAD[..HEAD.len() / 2]);
     assert!(!half_of_head.may_give_up_partial_request(|| true));
     assert!(half_of_head.may_give_up_partial_request(|| false));
@@ -42,5 +42,5 @@
     state.request_received();
     assert!(!state.may_give_up_partial_request(|| false));
     state.request_completed();
-    assert!(state.nothing_under_way());
+    assert!(state.has_no_request());
 }
