--- a/crates/scale-bench/src/decisions/measurement.rs
+++ b/crates/scale-bench/src/decisions/measurement.rs
@@ -19,7 +19,7 @@
 
 /// What was measured under load, after the warm-up.
 struct LoadResult {
-    /// Requests that arrived, at least 1.
+    /// Requests that arrived, or 1 if none did, because figures are divided by it.
     requests: f64,
     /// Total time that the engine spent on requests, counter replies and ends of attempts.
     request_seconds: f64,
--- a/crates/scale-bench/src/decisions/options.rs
+++ b/crates/scale-bench/src/decisions/options.rs
@@ -1,4 +1,4 @@
-//! The arguments of `decisions`: their bounds, and the command line that runs them in another process.
+//! The arguments of `decisions`: their bounds, and the command line of a run in another process.
 
 use std::path::PathBuf;
 
@@ -21,7 +21,7 @@
     /// Index of the measured node, from 0; drawn from the seed by default
     #[arg(long)]
     pub me: Option<u32>,
-    /// Seed from which the endpoints' ids, the requests and the response times are drawn
+    /// Seed of all random draws, including the engine's
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     /// Mean number of requests per second
@@ -45,7 +45,7 @@
     /// Duration of the timed load, in simulated seconds
     #[arg(long, default_value_t = 8.0)]
     pub run_s: f64,
-    /// Number of timed whole lists in which nothing has changed, and of those that replace all endpoints
+    /// Number of whole lists that are timed without a change, and again as many that replace all endpoints
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u32).range(1..=1_000))]
     pub whole_lists: u32,
     /// Time limit of a run in real seconds; a run that takes longer fails
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Returns the arguments of one run in another process, with its figures as JSON.
+    /// Returns the arguments for one run in another process, which prints its report as JSON.
     pub fn command_line(&self, seed: u64, servers: u32, nodes: u32) -> Vec<String> {
         let mut line = vec!["decisions".to_string(), "--json".into()];
         let mut add = |name: &str, value: String| line.extend([format!("--{name}"), value]);
--- a/crates/scale-bench/src/decisions/settings.rs
+++ b/crates/scale-bench/src/decisions/settings.rs
@@ -67,8 +67,9 @@
 /// Returns the plans at the indices [`UNLIMITED_PLAN`] and [`QUOTA_PLAN`].
 fn plans(options: &Options) -> Vec<Plan> {
     let unlimited = Plan { weight_factor: 1.0, ..Plan::default() };
-    // The quota, in units per second, is three times an account's requests per second over its two nodes, so
-    // that most accounts stay within it.
+    // An account sends its requests to two nodes, equally many to each. A request uses 2 units on average.
+    // The quota is 1.5 times the units that an account thus uses per second, so that most accounts stay
+    // within it.
     let quota_rate = 6.0 * options.rate * options.quota_share / f64::from(options.customers);
     let quota = Plan {
         quota_units_per_second: quota_rate,
--- a/crates/scale-bench/src/decisions/timing.rs
+++ b/crates/scale-bench/src/decisions/timing.rs
@@ -12,8 +12,9 @@
     FirstList,
     /// The arrival of a request.
     Request,
-    /// A request, or the counter service's reply to it, that started an attempt, and thus selected an
-    /// endpoint.
+    /// A [`Request`](Self::Request) or [`CounterReply`](Self::CounterReply) that started attempts, and thus
+    /// selected endpoints. It is recorded in addition to its own kind, with its time divided by the number of
+    /// attempts.
     Decision,
     /// A reply of the counter service.
     CounterReply,
--- a/crates/scale-bench/src/error.rs
+++ b/crates/scale-bench/src/error.rs
@@ -10,11 +10,14 @@
 /// The reason why a run failed. Its text is the one line that the program prints.
 #[derive(Debug, thiserror::Error)]
 pub enum BenchError {
-    /// An argument parses, but its value can't be used, or a run with these arguments has failed.
+    /// An argument parses, but its value can't be used: it is out of bounds, contradicts another argument, or
+    /// needs more memory or file descriptors than allowed. Also a `decisions` run that exceeded its time
+    /// limit, failed runs in child processes, and a histogram that can't be created.
     #[error("{0}")]
     Argument(String),
-    /// The run of an edge node failed: the node could not be started, has exited by itself or has broken a
-    /// rule of the soak, or the run was interrupted or exceeded its time limit.
+    /// The run of an edge node failed: the node could not be started, did not become ready in time or has
+    /// exited by itself. Also a run that was interrupted or exceeded its time limit, and plays of a soak that
+    /// broke a rule.
     #[error("the edge node: {0}")]
     EdgeNode(String),
     /// A file could not be read or written.
--- a/crates/scale-bench/src/fakes/counter_service.rs
+++ b/crates/scale-bench/src/fakes/counter_service.rs
@@ -47,7 +47,7 @@
 pub enum CounterMode {
     /// The service replies to every call.
     Serving,
-    /// The service withholds its replies, and sends the withheld ones once it is in another mode.
+    /// The service withholds its replies, and sends the withheld ones once it is serving or busy.
     Silent,
     /// The service rejects every valid `INCRTTL` call with `-BUSY`.
     Busy,
--- a/crates/scale-bench/src/fakes/endpoint_list.rs
+++ b/crates/scale-bench/src/fakes/endpoint_list.rs
@@ -77,7 +77,7 @@
     pub endpoints: u32,
     /// Seed of the endpoints' names and machine kinds, and of the choice of endpoints that are replaced.
     pub seed: u64,
-    /// Number of zones; endpoints are assigned to them in turn.
+    /// Number of zones; 0 counts as 1. Endpoints are assigned to them in turn.
     pub zones: u32,
     /// Length of each name in bytes; one below [`MIN_NAME_LENGTH`] counts as [`MIN_NAME_LENGTH`].
     pub name_length: usize,
--- a/crates/scale-bench/src/fleet/endpoint.rs
+++ b/crates/scale-bench/src/fleet/endpoint.rs
@@ -37,14 +37,15 @@
     pub warm_up: WarmUp,
 }
 
-/// The state of an endpoint's process.
+/// The state of an endpoint's process. In the model, a process that becomes unresponsive counts as ended,
+/// like one that exits, because it never responds again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessState {
     /// It serves requests.
     Up,
     /// It sends nothing back, and no connection to it can be established.
     Unresponsive,
-    /// It has ended: its connections are reset, and new ones are refused.
+    /// It has exited: its connections are reset, and new ones are refused.
     Dead,
 }
 
@@ -113,8 +114,8 @@
     pub zone: u32,
     /// The state of its process.
     pub state: ProcessState,
-    /// Number of its processes that have ended, which identifies its current process. Connections to earlier
-    /// processes are not usable.
+    /// Number of its processes that have ended, which identifies its current process, or its next one while
+    /// none is up. Connections to earlier processes are not usable.
     pub incarnation: u32,
     /// When its current process started; 0 means long ago.
     pub started_at: Micros,
@@ -235,9 +236,9 @@
         }
     }
 
-    /// Ends the process, which leaves it in `state`. Returns the requests that it held, in the order of
-    /// arrival.
-    pub fn end(&mut self, state: ProcessState) -> Vec<AttemptId> {
+    /// Ends the process, which becomes unresponsive or dead, as `state` says. Returns the requests that it
+    /// held, in the order of arrival.
+    pub fn take_down(&mut self, state: ProcessState) -> Vec<AttemptId> {
         self.state = state;
         self.warm_throughout = false;
         self.wake_up_number += 1;
--- a/crates/scale-bench/src/fleet/failure.rs
+++ b/crates/scale-bench/src/fleet/failure.rs
@@ -13,7 +13,7 @@
 use super::node::{EndpointIndex, NodeIndex};
 use super::scenario::Scenario;
 
-/// Time for which an endpoint that a release replaces drains before its process ends.
+/// Time for which an endpoint that a release replaces drains before its process exits.
 const ENDPOINT_DRAIN_TIME: Micros = 2_000_000;
 /// The failure `restart-tenth` restarts one node in this many.
 const RESTARTED_NODE_DIVISOR: usize = 10;
@@ -44,7 +44,7 @@
 /// are returned.
 #[derive(Debug, Clone, Copy)]
 pub enum FailureEffect {
-    /// A node's process ends and its connections are reset.
+    /// A node's process exits and its connections are reset.
     StopNode(NodeIndex),
     /// A node becomes unresponsive, and its clients get no notice.
     HangNode(NodeIndex),
@@ -56,7 +56,7 @@
     RestartEndpoint(EndpointIndex),
     /// The endpoint list shows an endpoint as draining.
     DrainEndpoint(EndpointIndex),
-    /// An endpoint's process ends and a new endpoint starts in its zone.
+    /// An endpoint's process exits and a new endpoint starts in its zone.
     ReplaceEndpoint(EndpointIndex),
     /// This region is cut off from all others. `None` reconnects the region that was cut off.
     IsolateRegion(Option<u32>),
--- a/crates/scale-bench/src/fleet/measurements.rs
+++ b/crates/scale-bench/src/fleet/measurements.rs
@@ -1,4 +1,4 @@
-//! Counts what happens in the measured time of a run.
+//! Counts what happens in the measured time of a run, and the endpoints that are overloaded in the whole run.
 
 use edge_node::decision::{Micros, Outcome};
 use hdrhistogram::Histogram;
@@ -62,7 +62,8 @@
     pub cancelled: f64,
 }
 
-/// Counts of the measured time. They are floating-point numbers because the figures are ratios of them.
+/// Counts of the measured time, except for the counts of overloaded endpoints, which are of the whole run.
+/// They are floating-point numbers because the figures are ratios of them.
 pub struct Measurements {
     from: Micros,
     until: Micros,
@@ -103,7 +104,7 @@
     pub counter_rejections: f64,
     /// Replies that reached their node after the time limit of the call.
     pub counter_late_replies: f64,
-    /// Endpoints that failed because of overload while they were warming up.
+    /// Endpoints that failed because of overload while they were warming up, at any time of the run.
     pub overloaded: f64,
     /// The part of `overloaded` for which more than two thirds of the load came from nodes that had been
     /// notified of the endpoint's start.
--- a/crates/scale-bench/src/fleet/node.rs
+++ b/crates/scale-bench/src/fleet/node.rs
@@ -21,12 +21,13 @@
     pub incarnation: u32,
 }
 
-/// The state of a node's process.
+/// The state of a node's process. In the model, a process that becomes unresponsive counts as ended, like one
+/// that exits, because it never responds again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NodeState {
     /// The process runs.
     Up,
-    /// The process has ended, and the front noticed its end at once.
+    /// The process has exited, and the front noticed that at once.
     Stopped,
     /// The node has been unresponsive since this time. The front notices after `--front-notice-ms`.
     Unresponsive(Micros),
@@ -38,7 +39,8 @@
     pub engine: DecisionEngine,
     /// Its zone.
     pub zone: u32,
-    /// Number of its processes that have ended, which identifies its current process.
+    /// Number of its processes that have ended, which identifies its current process, or its next one while
+    /// none is up.
     pub incarnation: u32,
     /// The state of its process.
     pub state: NodeState,
@@ -77,8 +79,9 @@
         self.state == NodeState::Up
     }
 
-    /// Ends its process, which loses its idle connections and counter calls. `state` says how it ended.
-    pub fn end(&mut self, state: NodeState) {
+    /// Ends its process, which loses its idle connections and counter calls. `state` says whether the process
+    /// exited or became unresponsive.
+    pub fn take_down(&mut self, state: NodeState) {
         self.state = state;
         self.incarnation += 1;
         self.idle_connections.clear();
--- a/crates/scale-bench/src/fleet/scenario.rs
+++ b/crates/scale-bench/src/fleet/scenario.rs
@@ -59,7 +59,7 @@
     /// Number of accounts (customers) per node
     #[arg(long, default_value_t = 95.0, value_name = "COUNT", value_parser = positive)]
     pub customers_per_node: f64,
-    /// Share of the requests that accounts with a quota send
+    /// Share of the requests that accounts with a quota send, and the probability that an account has a quota
     #[arg(long, default_value_t = 0.5, value_name = "SHARE", value_parser = share)]
     pub quota_share: f64,
     /// Number of nodes that receive an account's requests
@@ -68,8 +68,8 @@
     /// Maximum number of tries that a client makes for one request
     #[arg(long, default_value_t = 3, value_name = "TRIES", value_parser = clap::value_parser!(u32).range(1..=20))]
     pub client_tries: u32,
-    /// Milliseconds until the front notices that a node is unresponsive; it notices at once that a node's
-    /// process has ended
+    /// Milliseconds until the front, which spreads requests over the nodes, notices that a node is
+    /// unresponsive; it notices at once that a node's process has exited
     #[arg(long, default_value_t = 2_000, value_name = "MS", value_parser = clap::value_parser!(u64).range(0..=60_000))]
     pub front_notice_ms: u64,
 
@@ -105,6 +105,7 @@
     #[arg(long, default_value_t = 15_000, value_name = "MS", value_parser = clap::value_parser!(u64).range(0..=600_000))]
     pub cold_ms: u64,
     /// An endpoint that is warming up fails if it is sent more than this many times its current capacity
+    /// (plus an allowance for chance)
     #[arg(long, default_value_t = 2.5, value_name = "TIMES", value_parser = positive)]
     pub fall_multiple: f64,
     /// Time over which the load of --fall-multiple is measured, in milliseconds
--- a/crates/scale-bench/src/fleet/world.rs
+++ b/crates/scale-bench/src/fleet/world.rs
@@ -57,7 +57,7 @@
     pub endpoints: Vec<ModelEndpoint>,
     /// The accounts, by index.
     pub accounts: Vec<Account>,
-    /// The counts of the measured time so far.
+    /// The counts so far.
     pub measurements: Measurements,
     /// Number of endpoint starts during the run, restarts included.
     pub cold_starts: u64,
@@ -135,7 +135,7 @@
         self.add_stale_endpoints();
     }
 
-    /// Runs until the warm-up ends, but not beyond `until`.
+    /// Handles the events until the warm-up ends, which has to be before `until`.
     pub fn run_warm_up(&mut self, until: Micros) {
         while let Some(event) = self.next_before(until) {
             if matches!(event, WorldEvent::WarmUpEnds) {
@@ -145,7 +145,8 @@
         }
     }
 
-    /// Runs until `until`.
+    /// Handles all events before `until`. This ends the simulation, because the first event that is not
+    /// before `until` is dropped.
     pub fn run(&mut self, until: Micros) {
         while let Some(event) = self.next_before(until) {
             self.handle(event);
@@ -169,7 +170,8 @@
         self.nodes.iter().map(|node| node.idle_connections.count_since(oldest)).sum()
     }
 
-    /// Takes out the next event. Returns `None` if there is none before `until`.
+    /// Takes out the next event. Returns `None` if there is none. If the event is not before `until`, drops
+    /// it and returns `None`, so this must not be called again.
     fn next_before(&mut self, until: Micros) -> Option<WorldEvent> {
         let event = self.queue.pop()?;
         (self.queue.now() < until).then_some(event)
@@ -230,7 +232,7 @@
         for number in 0..count {
             let id = EndpointId(self.random.random());
             let mut endpoint = ModelEndpoint::new(id, number % self.scenario.zones, 0, 0);
-            endpoint.end(ProcessState::Dead);
+            endpoint.take_down(ProcessState::Dead);
             let index = self.add_endpoint(endpoint);
             self.stale_endpoints.push(index);
         }
@@ -267,7 +269,7 @@
         self.network.delay(self.nodes[node].zone, self.endpoints[endpoint].zone)
     }
 
-    /// Returns the time before which a connection must have become idle to be closed by now.
+    /// Returns the earliest time since which a connection that is still open can have been idle.
     fn oldest_idle_since(&self) -> Micros {
         self.queue.now().saturating_sub(self.scenario.idle_close_ms * 1_000)
     }
--- a/crates/scale-bench/src/fleet/world/attempts.rs
+++ b/crates/scale-bench/src/fleet/world/attempts.rs
@@ -123,7 +123,7 @@
         let idle_connections = &mut self.nodes[node].idle_connections;
         idle_connections.drop_expired(endpoint, oldest);
         if target.state == ProcessState::Dead {
-            // The connections to the process were closed when it ended.
+            // The connections to the process were closed when it exited.
             idle_connections.drop_other_incarnations(endpoint, target.incarnation);
         }
         match idle_connections.take(endpoint) {
--- a/crates/scale-bench/src/fleet/world/discovery.rs
+++ b/crates/scale-bench/src/fleet/world/discovery.rs
@@ -26,14 +26,16 @@
         }
     }
 
-    /// Schedules the detection that the endpoint's latest process has ended.
+    /// Schedules the detection that the endpoint's latest process has ended. It has to have ended already, so
+    /// that `incarnation` is the one after the loss.
     pub(super) fn schedule_loss_detection(&mut self, endpoint: EndpointIndex) {
         let process = EndpointProcess { endpoint, incarnation: self.endpoints[endpoint].incarnation };
         let at = self.queue.now() + self.scenario.detect_ms * 1_000;
         self.queue.schedule(at, WorldEvent::EndpointLossDetected(process));
     }
 
-    /// Removes an endpoint from the list whose process has ended, unless the endpoint has started again.
+    /// Removes an endpoint whose process has ended from the list, unless the endpoint has been started or
+    /// lost again since.
     pub(super) fn endpoint_loss_detected(&mut self, process: EndpointProcess) {
         let endpoint = &self.endpoints[process.endpoint];
         if endpoint.state != ProcessState::Up && endpoint.incarnation == process.incarnation {
--- a/crates/scale-bench/src/fleet/world/event.rs
+++ b/crates/scale-bench/src/fleet/world/event.rs
@@ -12,7 +12,7 @@
 pub struct EndpointProcess {
     /// The endpoint.
     pub endpoint: EndpointIndex,
-    /// Number of earlier processes of the endpoint.
+    /// Number of earlier processes of the endpoint, all of which have ended.
     pub incarnation: u32,
 }
 
@@ -71,7 +71,8 @@
     ProbeCompletes { process: NodeProcess, endpoint: EndpointId, outcome: Outcome },
     /// A new process of a node starts after an earlier one has ended.
     NodeStarts(NodeIndex),
-    /// Discovery detects that a process of an endpoint has ended.
+    /// Discovery detects that a process of an endpoint has ended. `incarnation` is the endpoint's incarnation
+    /// after the loss; the event is void if the endpoint has been started or lost again since.
     EndpointLossDetected(EndpointProcess),
     /// A step of the failure is carried out.
     FailureStep(FailureStep),
--- a/crates/scale-bench/src/fleet/world/failures.rs
+++ b/crates/scale-bench/src/fleet/world/failures.rs
@@ -26,8 +26,8 @@
 
     fn apply_effect(&mut self, effect: FailureEffect) {
         match effect {
-            FailureEffect::StopNode(node) => self.end_node(node, NodeState::Stopped),
-            FailureEffect::HangNode(node) => self.end_node(node, NodeState::Unresponsive(self.queue.now())),
+            FailureEffect::StopNode(node) => self.take_down(node, NodeState::Stopped),
+            FailureEffect::HangNode(node) => self.take_down(node, NodeState::Unresponsive(self.queue.now())),
             FailureEffect::BootNode(node) => self.boot_node(node),
             FailureEffect::HangEndpoint(endpoint) => self.hang_endpoint(endpoint),
             FailureEffect::RestartEndpoint(endpoint) => self.restart_endpoint(endpoint),
@@ -48,19 +48,20 @@
         }
     }
 
-    /// Ends the process of a node that is up. The tries to which it has not responded are lost.
-    fn end_node(&mut self, node: NodeIndex, state: NodeState) {
+    /// Ends the process of a node that is up: it exits or becomes unresponsive, as `state` says. The tries to
+    /// which it has not responded are lost.
+    fn take_down(&mut self, node: NodeIndex, state: NodeState) {
         if !self.nodes[node].is_up() {
             return;
         }
-        self.nodes[node].end(state);
+        self.nodes[node].take_down(state);
         for number in self.tries_at(node) {
             let Some(pending) = self.pending_tries.get_mut(&number) else { continue };
             pending.abandoned = true;
             if pending.completed {
                 self.remove_if_over(number);
             } else if state == NodeState::Stopped {
-                // The end of the process resets the client's connection, so the client knows at once.
+                // The exit of the process resets the client's connection, so the client knows at once.
                 self.complete_try(number, FinalResult::Lost, 0);
             }
         }
@@ -82,7 +83,7 @@
         self.queue.schedule(self.queue.now() + boot_time, WorldEvent::NodeStarts(node));
     }
 
-    /// Removes an endpoint from the list, ends its process, and starts a new endpoint in its zone.
+    /// Removes an endpoint from the list, makes its process exit, and starts a new endpoint in its zone.
     fn replace_endpoint(&mut self, endpoint: EndpointIndex) {
         self.publish(endpoint, EndpointState::Removed);
         self.kill_endpoint(endpoint);
--- a/crates/scale-bench/src/fleet/world/upstream.rs
+++ b/crates/scale-bench/src/fleet/world/upstream.rs
@@ -9,8 +9,9 @@
 use crate::fleet::node::EndpointIndex;
 
 impl World {
-    /// Handles the arrival of an attempt at its endpoint. An unresponsive or unreachable endpoint ignores it.
-    /// A process other than the one that it was sent to resets its connection.
+    /// Handles the arrival of an attempt at its endpoint. An unresponsive or unreachable endpoint ignores the
+    /// attempt. If the endpoint is dead, or the attempt was sent to an earlier process, its connection is
+    /// reset.
     pub(super) fn attempt_arrived(&mut self, process: EndpointProcess, attempt: AttemptId, work: f64) {
         let now = self.queue.now();
         let index = process.endpoint;
@@ -57,13 +58,13 @@
     /// Makes an endpoint unresponsive. The requests that it held never get a response, so the nodes' time
     /// limits end their attempts.
     pub(super) fn hang_endpoint(&mut self, index: EndpointIndex) {
-        self.endpoints[index].end(ProcessState::Unresponsive);
+        self.endpoints[index].take_down(ProcessState::Unresponsive);
         self.schedule_loss_detection(index);
     }
 
-    /// Ends the process of an endpoint, which resets the connections of the requests that it held.
+    /// Makes the process of an endpoint exit, which resets the connections of the requests that it held.
     pub(super) fn kill_endpoint(&mut self, index: EndpointIndex) {
-        for attempt in self.endpoints[index].end(ProcessState::Dead) {
+        for attempt in self.endpoints[index].take_down(ProcessState::Dead) {
             self.respond(index, attempt, Outcome::Reset);
         }
     }
--- a/crates/scale-bench/src/lib.rs
+++ b/crates/scale-bench/src/lib.rs
@@ -10,7 +10,9 @@
 //! - [`slopes`]: runs one of these three at several fleet sizes and computes how each figure grows with the
 //!   size.
 //! - [`soak`]: runs short plays, each of one real edge node process under faults drawn from a seed, and
-//!   checks the rules of the service.
+//!   checks that every request gets a correct response in time, that no non-idempotent request is repeated
+//!   once it may have run, and that the node recovers and neither panics nor exits with an error.
+//!   [`soak::Violation`] lists all of these rules.
 //!
 //! The module [`fakes`] has the fakes of the peers of a real process: the discovery agent, the counter
 //! service and the endpoints (app servers).
--- a/crates/scale-bench/src/main.rs
+++ b/crates/scale-bench/src/main.rs
@@ -30,8 +30,9 @@
     Decisions(decisions::Options),
     /// Run another subcommand at several fleet sizes and compute how each figure grows with the size
     Slopes(slopes::Options),
-    /// Run short plays, each of one real edge node process under faults drawn from a seed, and check the
-    /// rules of the service
+    /// Run short plays, each of one real edge node process under faults drawn from a seed, and check that
+    /// every request gets a correct response in time, that no non-idempotent request is repeated once it may
+    /// have run, and that the node recovers and neither panics nor exits with an error
     Soak(soak::Options),
 }
 
--- a/crates/scale-bench/src/node/configuration.rs
+++ b/crates/scale-bench/src/node/configuration.rs
@@ -118,8 +118,8 @@
     Ok(file)
 }
 
-/// Returns the value of the key `settings`. Its keys are those of the first message that the simulator sends;
-/// times are in microseconds.
+/// Returns the value of the key `settings`, with the key names that the edge node reads; times are in
+/// microseconds.
 fn settings(options: &Options) -> Value {
     let connection_idle_us = (options.conn_idle_s * 1e6) as u64;
     json!({
--- a/crates/scale-bench/src/node/limits.rs
+++ b/crates/scale-bench/src/node/limits.rs
@@ -23,10 +23,8 @@
         return Ok(());
     }
     if limit.maximum.is_some_and(|maximum| maximum < needed) {
-        let reason = format!(
-            "--rate and --deadline-ms may need {needed} file descriptors, more than the \
-                     hard limit of this process"
-        );
+        let reason =
+            format!("this run may need {needed} file descriptors, more than the hard limit of this process");
         return Err(BenchError::Argument(reason));
     }
     let raised = setrlimit(Resource::Nofile, Rlimit { current: Some(needed), ..limit });
--- a/crates/scale-bench/src/node/usage.rs
+++ b/crates/scale-bench/src/node/usage.rs
@@ -51,8 +51,10 @@
     /// Returns the processor time used since an earlier reading, in percent of one core.
     ///
     /// The result is the larger of two measures, because each can miss time. The process's time is counted in
-    /// clock ticks of 10 ms, which is more than an idle edge node uses in several seconds. The scheduler's
-    /// times are exact, but those of a thread are lost once the thread has ended.
+    /// whole clock ticks, which is too coarse for an idle edge node: one tick is 10 ms, more than the node
+    /// uses in several seconds. One tick is subtracted from the difference of two readings, because the
+    /// difference may be too large by up to one tick. The scheduler's times are exact, but those of a thread
+    /// are lost once the thread has ended.
     pub fn cpu_percent_since(&self, earlier: &Usage) -> f64 {
         let ticks = self.ticks.saturating_sub(earlier.ticks + clock_tick());
         let cpu_time = match self.thread_times_since(earlier) {
--- a/crates/scale-bench/src/report.rs
+++ b/crates/scale-bench/src/report.rs
@@ -39,7 +39,7 @@
     pub arguments: serde_json::Value,
     /// The figures, in the order in which they are printed.
     pub figures: Vec<Figure>,
-    /// Facts needed to read the figures: what share of the fleet was run, and what was scaled and how.
+    /// Facts needed to read the figures, such as how a figure is defined or what was left out.
     pub notes: Vec<String>,
 }
 
--- a/crates/scale-bench/src/slopes.rs
+++ b/crates/scale-bench/src/slopes.rs
@@ -51,8 +51,8 @@
     }
 }
 
-/// Runs all sizes with one seed, and then all sizes with the next seed, so that a change of the machine's
-/// load affects all sizes alike.
+/// Runs the rounds one after another. Each round runs all sizes with one seed, so that a change of the
+/// machine's load affects all sizes alike.
 fn run_all(options: &Options, program: &Path, sizes: &[Size]) -> Vec<Run> {
     let time_limit_at = Instant::now() + Duration::from_secs_f64(options.limit_s);
     let mut runs = Vec::new();
--- a/crates/scale-bench/src/slopes/fit.rs
+++ b/crates/scale-bench/src/slopes/fit.rs
@@ -3,22 +3,23 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A fitted value and its spread over the runs of the ladder.
+/// A fitted value and its spread over the rounds of the ladder. A round runs every size once, all with the
+/// same seed.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Fitted {
-    /// The value fitted to the points of all runs together.
+    /// The value fitted to the points of all rounds together.
     pub value: f64,
-    /// The smallest of `value` and the values fitted to each run alone.
+    /// The smallest of `value` and the values fitted to each round alone.
     pub least: f64,
-    /// The largest of `value` and the values fitted to each run alone.
+    /// The largest of `value` and the values fitted to each round alone.
     pub most: f64,
 }
 
 /// One measured value of a figure.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Point {
-    /// Index of the run at this size, from 0.
-    pub run: u32,
+    /// Index of the round, from 0.
+    pub round: u32,
     /// The size: the number of endpoints or of edge nodes.
     pub size: f64,
     /// The figure's value, in its unit.
@@ -61,20 +62,20 @@
     fit_with_spread(points, logarithms).ok_or(NoExponent::OneSize)
 }
 
-/// Fits a line to all points, and one to the points of each run alone. Returns the slopes, or `None` if the
+/// Fits a line to all points, and one to the points of each round alone. Returns the slopes, or `None` if the
 /// points have fewer than two sizes.
 fn fit_with_spread(points: &[Point], coordinates: impl Fn(&Point) -> Coordinates) -> Option<Fitted> {
     let all: Vec<Coordinates> = points.iter().map(&coordinates).collect();
     let value = line_slope(&all)?;
-    let mut runs: Vec<u32> = points.iter().map(|point| point.run).collect();
-    runs.sort_unstable();
-    runs.dedup();
+    let mut rounds: Vec<u32> = points.iter().map(|point| point.round).collect();
+    rounds.sort_unstable();
+    rounds.dedup();
     let mut fitted = Fitted { value, least: value, most: value };
-    for run in runs {
-        let of_run = points.iter().filter(|point| point.run == run);
-        let of_run: Vec<Coordinates> = of_run.map(&coordinates).collect();
-        // If all but one size of a run failed, no line can be fitted to this run.
-        if let Some(alone) = line_slope(&of_run) {
+    for round in rounds {
+        let of_round = points.iter().filter(|point| point.round == round);
+        let of_round: Vec<Coordinates> = of_round.map(&coordinates).collect();
+        // If all runs of a round but those at one size failed, no line can be fitted to this round.
+        if let Some(alone) = line_slope(&of_round) {
             fitted.least = fitted.least.min(alone);
             fitted.most = fitted.most.max(alone);
         }
--- a/crates/scale-bench/src/slopes/growth.rs
+++ b/crates/scale-bench/src/slopes/growth.rs
@@ -36,7 +36,7 @@
                 all.push(Series { name: &figure.name, unit: &figure.unit, values: Vec::new() });
                 all.len() - 1
             });
-            let point = Point { run: run.run, size, value: figure.value };
+            let point = Point { round: run.run, size, value: figure.value };
             all[index].values.push(SizedPoint { size: run.size, point });
         }
     }
--- a/crates/scale-bench/src/slopes/ladder.rs
+++ b/crates/scale-bench/src/slopes/ladder.rs
@@ -6,12 +6,12 @@
 use super::size::Size;
 use crate::report::Report;
 
-/// One run of the ladder.
+/// One run of the ladder: one process at one size.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Run {
     /// The size of the fleet.
     pub size: Size,
-    /// Index of the run at this size, from 0.
+    /// Index of the round, from 0. A round runs every size once, all with the same seed.
     pub run: u32,
     /// The seed of the run.
     pub seed: u64,
--- a/crates/scale-bench/src/slopes/options.rs
+++ b/crates/scale-bench/src/slopes/options.rs
@@ -24,10 +24,10 @@
     /// Two or more sizes, each with its numbers of endpoints (app servers) and edge nodes
     #[arg(long, value_name = "SERVERS/NODES,...", default_value = "200/300,4600/570,46000/5700")]
     pub sizes: String,
-    /// Number of runs at each size, each with a seed of its own
+    /// Number of rounds, each of one run at every size, with a seed of its own
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u32).range(1..=20))]
     pub runs: u32,
-    /// Seed of the first run; each further run takes the next number
+    /// Seed of the first round; each further round takes the next number
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     /// Whether growth is reported against the number of endpoints or of edge nodes
@@ -82,7 +82,8 @@
         let first = sizes[0].along(self.against);
         if sizes.iter().all(|size| size.along(self.against) == first) {
             return argument_error(format!(
-                "--sizes {} has one size alone: growth needs two different sizes",
+                "--sizes {}: the number that --against selects is the same in all sizes, but growth needs \
+                 two different ones",
                 self.sizes
             ));
         }
--- a/crates/scale-bench/src/soak.rs
+++ b/crates/scale-bench/src/soak.rs
@@ -1,5 +1,7 @@
 //! The subcommand `soak`: runs short plays, each of one real edge node process with faulty peers and clients,
-//! and checks the rules of the service. Everything that happens in a play is drawn from its seed.
+//! and checks that every request gets a correct response in time, that no non-idempotent request is repeated
+//! once it may have run, and that the node recovers and neither panics nor exits with an error. [`Violation`]
+//! lists all of these rules. Everything that happens in a play is drawn from its seed.
 
 mod client;
 mod endpoints;
@@ -36,8 +38,8 @@
 /// Runs the plays and prints a line for each play, a line for each broken rule, and the totals.
 ///
 /// # Errors
-/// Returns an error if a rule was broken, a node or its peers can't be started, or the results can't be
-/// written.
+/// Returns an error if a play has failed (see [`Verdict`]), a node or its peers can't be started, or the
+/// results can't be written.
 pub fn run(options: Options) -> Result<(), BenchError> {
     let results = play_all(&options)?;
     let count = |verdict| results.iter().filter(|result| result.verdict == verdict).count();
@@ -93,6 +95,7 @@
 }
 
 fn print_result(result: &PlayResult) {
+    // `lateness_ms` is the lateness of this process's timers, not that of requests.
     let PlayResult { seed, verdict, violations, counts, lateness_ms, .. } = result;
     println!(
         "seed {seed}: {verdict:?}, {} requests, {} served, {} not served, late by {lateness_ms} ms at most",
--- a/crates/scale-bench/src/soak/client.rs
+++ b/crates/scale-bench/src/soak/client.rs
@@ -11,7 +11,7 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
 use super::message::read_message;
-use super::phase::Phase;
+use super::phase::PlayTimes;
 use super::rules::{Ending, RequestLog, RESPONSE_SLACK};
 use crate::fakes::hash::mix;
 use crate::node::configuration::{RequestClass, CLASSES, QUOTA_PLAN, UNLIMITED_PLAN};
@@ -42,8 +42,8 @@
     pub pause: Duration,
     /// Log in which requests are recorded.
     pub request_log: Arc<RequestLog>,
-    /// The phase that the play is in.
-    pub phase: Arc<Phase>,
+    /// Times of the play's flood and shutdown, and whether the play has ended.
+    pub times: Arc<PlayTimes>,
 }
 
 /// A client with a random number generator of its own.
@@ -83,7 +83,7 @@
     /// shutdown. A connection is used as long as it stays open.
     pub async fn run(mut self) {
         let mut connection = None;
-        while !self.setup.phase.has_ended() {
+        while !self.setup.times.has_ended() {
             let pause = self.setup.pause.mul_f64(self.random.random_range(0.2..1.8));
             sleep(pause).await;
             if connection.is_none() {
@@ -91,7 +91,7 @@
             }
             if let Some(open) = connection.take() {
                 connection = self.request(open).await;
-            } else if self.setup.phase.is_shutting_down() {
+            } else if self.setup.times.is_shutting_down() {
                 return;
             }
         }
@@ -104,10 +104,10 @@
         }
     }
 
-    /// Connects to the node. Returns `None`, after a pause, if that fails, and `None` at once if the phase
-    /// allows no new connections.
+    /// Connects to the node. Returns `None`, after a pause, if that fails, and `None` at once if clients
+    /// may make no new connections.
     async fn connect(&self) -> Option<Connection> {
-        if !self.setup.phase.allows_new_connections() {
+        if !self.setup.times.allows_new_connections() {
             return None;
         }
         match timeout(CONNECT_TIMEOUT, TcpStream::connect(self.setup.address)).await {
@@ -128,13 +128,14 @@
         let class = self.setup.only_class.unwrap_or_else(|| self.random.random_range(0..CLASSES.len()));
         let class = &CLASSES[class];
         let request = self.draw(class);
-        let may_be_unread = connection.was_used || self.setup.phase.may_close_unread();
+        // The node may close an idle connection that was kept open, just as the next request is sent on it.
+        let may_close_unread = connection.was_used || self.setup.times.may_close_unread();
         self.setup.request_log.record_sent(&request.id, class.is_idempotent(), request.deadline);
-        let (ending, is_reusable) = exchange(&mut connection, &request, may_be_unread).await;
+        let (ending, is_reusable) = exchange(&mut connection, &request, may_close_unread).await;
         // The node may have begun to close connections while the request was under way.
         let ending = match ending {
-            Ending::Closed { may_be_unread } => {
-                Ending::Closed { may_be_unread: may_be_unread || self.setup.phase.may_close_unread() }
+            Ending::Closed { may_close_unread } => {
+                Ending::Closed { may_close_unread: may_close_unread || self.setup.times.may_close_unread() }
             }
             other => other,
         };
@@ -176,18 +177,18 @@
 }
 
 /// Sends a request and waits for its response. Returns how the request ended, and whether the connection can
-/// be used again. `may_be_unread` says whether the node may close the connection without having read the
+/// be used again. `may_close_unread` says whether the node may close the connection without having read the
 /// request.
 async fn exchange(
     connection: &mut Connection,
     request: &DrawnRequest,
-    may_be_unread: bool,
+    may_close_unread: bool,
 ) -> (Ending, bool) {
     if send(connection, request).await.is_err() {
-        return (Ending::Closed { may_be_unread }, false);
+        return (Ending::Closed { may_close_unread }, false);
     }
     let response_due = Instant::now() + request.deadline + RESPONSE_SLACK;
-    let response = read_response(connection, may_be_unread);
+    let response = read_response(connection, may_close_unread);
     match request.closes_after {
         Some(closes_after) => match timeout(closes_after, response).await {
             Ok(ended) => ended,
@@ -211,11 +212,11 @@
 
 /// Reads the response to a request. Returns how the request ended, and whether the connection can be used
 /// again.
-async fn read_response(connection: &mut Connection, may_be_unread: bool) -> (Ending, bool) {
+async fn read_response(connection: &mut Connection, may_close_unread: bool) -> (Ending, bool) {
     // An error before the first byte counts as a close of the connection.
     let has_response_begun = connection.stream.fill_buf().await.is_ok_and(|bytes| !bytes.is_empty());
     if !has_response_begun {
-        return (Ending::Closed { may_be_unread }, false);
+        return (Ending::Closed { may_close_unread }, false);
     }
     match read_message(&mut connection.stream).await {
         Ok(Some(message)) => match message.status() {
--- a/crates/scale-bench/src/soak/endpoints.rs
+++ b/crates/scale-bench/src/soak/endpoints.rs
@@ -19,9 +19,9 @@
 use crate::fakes::lock;
 
 /// Shortest time that an endpoint works on a request.
-const MIN_SERVICE_TIME: Duration = Duration::from_millis(3);
-/// Longest time that an endpoint works on a request beyond [`MIN_SERVICE_TIME`], in milliseconds.
-const MAX_EXTRA_SERVICE_TIME_MS: f64 = 30.0;
+const MIN_WORK_TIME: Duration = Duration::from_millis(3);
+/// Longest time that an endpoint works on a request beyond [`MIN_WORK_TIME`], in milliseconds.
+const MAX_EXTRA_WORK_TIME_MS: f64 = 30.0;
 
 /// A fault that affects a share of the endpoints.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -113,8 +113,8 @@
         };
         let behaviour = self.behaviour(endpoint);
         self.request_log.record_attempt(id, behaviour);
-        let extra_ms = MAX_EXTRA_SERVICE_TIME_MS * fraction(self.seed, mix(7, address_number(endpoint)));
-        sleep(MIN_SERVICE_TIME + Duration::from_secs_f64(extra_ms / 1e3)).await;
+        let extra_ms = MAX_EXTRA_WORK_TIME_MS * fraction(self.seed, mix(7, address_number(endpoint)));
+        sleep(MIN_WORK_TIME + Duration::from_secs_f64(extra_ms / 1e3)).await;
         let body = format!("{id} {endpoint}");
         let length = body.len();
         match behaviour {
--- a/crates/scale-bench/src/soak/flood.rs
+++ b/crates/scale-bench/src/soak/flood.rs
@@ -30,7 +30,7 @@
     /// Nothing.
     Idle,
     /// The first bytes of a request.
-    HalfSent,
+    PartialRequest,
     /// A request, byte by byte.
     Slow,
 }
@@ -43,9 +43,9 @@
     for number in 0..flood.count {
         let client = match flood.kind {
             FloodKind::Idle => FloodClient::Idle,
-            FloodKind::HalfSent => FloodClient::HalfSent,
+            FloodKind::HalfSent => FloodClient::PartialRequest,
             FloodKind::Slow => FloodClient::Slow,
-            FloodKind::PartlyHalfSent if number % 3 == 0 => FloodClient::HalfSent,
+            FloodKind::PartlyHalfSent if number % 3 == 0 => FloodClient::PartialRequest,
             FloodKind::PartlyHalfSent => FloodClient::Idle,
         };
         clients.spawn(run_client(address, client, text.clone()));
@@ -64,7 +64,7 @@
             let _ = timeout(CONNECTION_TIME, stream.read(&mut [0; 256])).await;
             false
         }
-        FloodClient::HalfSent => {
+        FloodClient::PartialRequest => {
             if stream.write_all(&text.as_bytes()[..PARTIAL_REQUEST_BYTES]).await.is_err() {
                 return false;
             }
--- a/crates/scale-bench/src/soak/phase.rs
+++ b/crates/scale-bench/src/soak/phase.rs
@@ -1,5 +1,5 @@
-//! The phase that a play is in: flood, shutdown or end. It determines when clients make new connections, and
-//! when the node may close a connection without having read a request.
+//! Times of a play's flood and shutdown, and whether it has ended. They determine when clients make new
+//! connections, and when the node may close a connection without having read a request.
 
 use std::sync::Mutex;
 
@@ -7,24 +7,25 @@
 
 use crate::fakes::lock;
 
-/// Times at which phases begin and end.
+/// The values of [`PlayTimes`].
 #[derive(Default)]
 struct Times {
     /// Start and end of the effects of a flood.
     flood: Option<(Instant, Instant)>,
+    /// Start of the shutdown.
     shutdown_at: Option<Instant>,
     /// Clients make no new connections from this time on.
     connections_until: Option<Instant>,
     has_ended: bool,
 }
 
-/// The phase of a play.
+/// Times of a play's flood and shutdown, and whether it has ended.
 #[derive(Default)]
-pub struct Phase {
+pub struct PlayTimes {
     times: Mutex<Times>,
 }
 
-impl Phase {
+impl PlayTimes {
     /// Records that a flood, which can use up the node's descriptors, begins now and has effects until
     /// `until`.
     pub fn begin_flood(&self, until: Instant) {
--- a/crates/scale-bench/src/soak/play.rs
+++ b/crates/scale-bench/src/soak/play.rs
@@ -15,7 +15,7 @@
 use super::client::{Client, ClientSetup};
 use super::endpoints::{EndpointFault, FaultyEndpoints};
 use super::flood;
-use super::phase::Phase;
+use super::phase::PlayTimes;
 use super::plan::{Fault, FaultKind, Flood, Plan, Reload, Shutdown, ShutdownSignal};
 use super::rules::{Counts, RequestLog, Violation, RESPONSE_SLACK};
 use crate::error::BenchError;
@@ -49,7 +49,8 @@
 /// If a timer of this process fired later than this, the play says nothing about the node and counts as
 /// disturbed.
 const MAX_TIMER_LATENESS: Duration = Duration::from_millis(50);
-/// Number of the first client that connects for one request during a flood; the further ones follow.
+/// Client number of the first newcomer of a flood, above those of all other clients; the other newcomers have
+/// the next numbers.
 const FIRST_NEWCOMER_NUMBER: u64 = 1_000;
 /// Quota of an account whose plan has one, in units per second, and its burst, in units.
 const QUOTA_UNITS: f64 = 50.0;
@@ -64,9 +65,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// No rule was broken.
+    /// No rule was broken, and the play was not disturbed.
     Passed,
-    /// A rule was broken.
+    /// A rule was broken, and the play was not disturbed.
     Failed,
     /// The machine was too slow for the play to say anything about the node, whether or not a rule was
     /// broken.
@@ -164,7 +165,7 @@
             only_class: plan.only_class,
             pause: Duration::from_millis(plan.pause_ms),
             request_log,
-            phase: Arc::<Phase>::default(),
+            times: Arc::<PlayTimes>::default(),
         };
         let configuration = Configuration { options, list, file };
         let load_start = Instant::now();
@@ -177,16 +178,16 @@
         for number in 0..self.plan.clients {
             clients.spawn(Client::new(self.setup.clone(), number as u64).run());
         }
-        let (recovery, bad_clients, ()) = {
+        let (recovery, held_clients, ()) = {
             let recovered = self.wait_for_recovery();
             let flood = self.run_flood();
-            let disturbances = async { tokio::join!(self.run_faults(), self.run_reloads()) };
-            let (recovery, bad_clients, (_, reloads)) = tokio::join!(recovered, flood, disturbances);
-            (recovery, bad_clients, reloads?)
+            let faults_and_reloads = async { tokio::join!(self.run_faults(), self.run_reloads()) };
+            let (recovery, held_clients, (_, reloads)) = tokio::join!(recovered, flood, faults_and_reloads);
+            (recovery, held_clients, reloads?)
         };
-        let mut violations: Vec<Violation> = recovery.into_iter().chain(bad_clients).collect();
+        let mut violations: Vec<Violation> = recovery.into_iter().chain(held_clients).collect();
         violations.extend(self.shut_down().await);
-        self.setup.phase.end();
+        self.setup.times.end();
         // Clients that still wait for a response stop waiting after their deadline.
         let longest_wait = LONGEST_DEADLINE + RESPONSE_SLACK + Duration::from_secs(1);
         let _ = timeout(longest_wait, async { while clients.join_next().await.is_some() {} }).await;
@@ -229,7 +230,7 @@
     async fn run_flood(&self) -> Option<Violation> {
         let flood = self.plan.flood.as_ref()?;
         sleep_until(self.load_start + Duration::from_millis(flood.start_ms)).await;
-        self.setup.phase.begin_flood(Instant::now() + flood::CONNECTION_TIME + FLOOD_EFFECT_TIME);
+        self.setup.times.begin_flood(Instant::now() + flood::CONNECTION_TIME + FLOOD_EFFECT_TIME);
         let newcomers = self.start_newcomers(flood);
         let clients = flood::run(flood, self.setup.address).await;
         newcomers.join_all().await;
@@ -271,12 +272,12 @@
         Ok(())
     }
 
-    /// Shuts the node down, and kills it at the earliest time at which it may be killed if it still runs
-    /// then. Returns violations for an exit with an error and for a panic.
+    /// Shuts the node down, and kills it if it still runs [`KILL_AFTER`] after the first signal, which is not
+    /// itself a violation. Returns violations for an exit with an error and for a panic.
     async fn shut_down(&mut self) -> Vec<Violation> {
         let Shutdown { first, further, new_connections_ms } = &self.plan.shutdown;
         let kill_at = Instant::now() + KILL_AFTER;
-        self.setup.phase.begin_shutdown(Instant::now() + Duration::from_millis(*new_connections_ms));
+        self.setup.times.begin_shutdown(Instant::now() + Duration::from_millis(*new_connections_ms));
         self.process.signal(signal(*first));
         for further in further {
             sleep(SHUTDOWN_SIGNAL_PAUSE).await;
--- a/crates/scale-bench/src/soak/rules.rs
+++ b/crates/scale-bench/src/soak/rules.rs
@@ -1,4 +1,5 @@
-//! Records the requests of a play and their attempts, and checks them against the rules of the service.
+//! The rules of the service that a play checks, each a variant of [`Violation`]. Records the requests of a
+//! play and their attempts, and checks them against the rules that concern a single request.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -16,7 +17,7 @@
 /// 0.1 s; the rest is the lateness that a play may have.
 const MAX_ATTEMPT_DELAY_AFTER_CLOSE: Duration = Duration::from_millis(150);
 
-/// A violation of a rule of the service.
+/// A violation of a rule of the service. Each variant is one rule.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, thiserror::Error)]
 #[serde(tag = "rule", rename_all = "snake_case")]
 pub enum Violation {
@@ -75,7 +76,7 @@
         within_ms: u64,
     },
     /// The node kept the connections of clients that sent a part of a request and no more.
-    #[error("{clients} clients that sent a part of a request were neither answered nor closed in time")]
+    #[error("{clients} clients sent a part of a request, but got neither a response nor a close in time")]
     BadClientsHeld {
         /// Number of these clients.
         clients: usize,
@@ -100,8 +101,8 @@
     },
     /// The connection ended before the first byte of a response.
     Closed {
-        /// Whether the node was permitted to close the connection without reading the request.
-        may_be_unread: bool,
+        /// Whether the node was permitted to close the connection without having read the request.
+        may_close_unread: bool,
     },
     /// The connection ended in the middle of the response, or the response was malformed.
     Incomplete,
@@ -146,7 +147,8 @@
     records: Mutex<Records>,
 }
 
-/// Number of requests by the way in which they ended.
+/// Number of requests by the way in which they ended. Requests without a complete response in time are
+/// counted in `requests` only, unless their connection was closed before the response.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct Counts {
     /// Requests that were sent.
@@ -236,7 +238,7 @@
             Some(Violation::WrongBody { id, body })
         }
         // A request with an attempt was read by the node, so closing its connection is never permitted.
-        Ending::Closed { may_be_unread } if !may_be_unread || attempts > 0 => {
+        Ending::Closed { may_close_unread } if !may_close_unread || attempts > 0 => {
             Some(Violation::ClosedWithoutAnswer { id, attempts })
         }
         Ending::Incomplete => Some(Violation::IncompleteAnswer { id }),
--- a/crates/scale-bench/tests/slopes.rs
+++ b/crates/scale-bench/tests/slopes.rs
@@ -13,12 +13,12 @@
 /// Sizes at which the values to fit are given.
 const SIZES: [f64; 4] = [200.0, 4_600.0, 23_000.0, 46_000.0];
 
-/// Returns the points of three runs over all sizes. `value` returns the value of a run at a size.
+/// Returns the points of three rounds over all sizes. `value` returns the value of a round at a size.
 fn points(value: impl Fn(u32, f64) -> f64) -> Vec<Point> {
     let mut points = Vec::new();
-    for run in 0..3 {
+    for round in 0..3 {
         for size in SIZES {
-            points.push(Point { run, size, value: value(run, size) });
+            points.push(Point { round, size, value: value(round, size) });
         }
     }
     points
@@ -42,13 +42,13 @@
 
 #[test]
 fn noise_widens_the_spread_of_the_exponent() {
-    // The values of each run deviate by up to a tenth, in a fixed pattern of their own.
+    // The values of each round deviate by up to a tenth, in a fixed pattern of their own.
     let noise = [[0.9, 1.1, 1.0, 1.0], [1.1, 0.9, 1.05, 0.95], [1.0, 1.0, 0.9, 1.1]];
-    let factor = |run: u32, size: f64| {
+    let factor = |round: u32, size: f64| {
         let index = SIZES.iter().position(|&known| known == size).expect("the size should be one of SIZES");
-        noise[run as usize][index]
+        noise[round as usize][index]
     };
-    let fitted = exponent(&points(|run, size| 2.0 * size * factor(run, size)))
+    let fitted = exponent(&points(|round, size| 2.0 * size * factor(round, size)))
         .expect("the points should have an exponent");
     assert_near(fitted.value, 1.0, 0.02);
     assert!(fitted.least < fitted.value && fitted.value < fitted.most, "{fitted:?}");
@@ -56,8 +56,8 @@
 }
 
 #[test]
-fn run_with_another_exponent_widens_the_spread() {
-    let mixed = exponent(&points(|run, size| if run == 2 { size * size } else { size }))
+fn round_with_another_exponent_widens_the_spread() {
+    let mixed = exponent(&points(|round, size| if round == 2 { size * size } else { size }))
         .expect("the points should have an exponent");
     assert_near(mixed.least, 1.0, 1e-9);
     assert_near(mixed.most, 2.0, 1e-9);
@@ -66,7 +66,7 @@
 
 #[test]
 fn values_without_a_logarithm_have_no_exponent() {
-    let with_zero = points(|run, size| if run == 1 && size == 200.0 { 0.0 } else { size });
+    let with_zero = points(|round, size| if round == 1 && size == 200.0 { 0.0 } else { size });
     assert_eq!(exponent(&with_zero), Err(NoExponent::NotPositive));
     assert_eq!(exponent(&points(|_, size| -size)), Err(NoExponent::NotPositive));
     assert!(slope(&with_zero).is_some());
@@ -140,8 +140,8 @@
         (&["--sizes", "200"][..], &[][..], "\"200\""),
         (&["--sizes", "200/300,0/4"], &[], "\"0/4\""),
         (&["--sizes", "200/300,,400/600"], &[], "\"\""),
-        (&["--sizes", "200/300"], &[], "one size alone"),
-        (&["--sizes", "200/300,400/300", "--against", "nodes"], &[], "one size alone"),
+        (&["--sizes", "200/300"], &[], "the same in all sizes"),
+        (&["--sizes", "200/300,400/300", "--against", "nodes"], &[], "the same in all sizes"),
         (&["--limit-s", "0"], &[], "--limit-s 0"),
         (&[], &["--servers=5"], "--servers=5"),
     ] {
--- a/crates/scale-bench/tests/soak.rs
+++ b/crates/scale-bench/tests/soak.rs
@@ -50,7 +50,7 @@
         request_log(false, &[Behaviour::Reject, Behaviour::Serve], served("r-1 127.1.0.1")),
         request_log(true, &[Behaviour::Reset, Behaviour::Serve], served("r-1 127.1.0.1")),
         request_log(false, &[Behaviour::Hang], Ending::Responded { status: 502, body: Vec::new() }),
-        request_log(false, &[], Ending::Closed { may_be_unread: true }),
+        request_log(false, &[], Ending::Closed { may_close_unread: true }),
         request_log(false, &[Behaviour::Hang], Ending::ClosedByClient { at: Instant::now() }),
     ];
     for (number, request_log) in kept.iter().enumerate() {
@@ -67,12 +67,12 @@
             Violation::NoAnswer { id: id(), time_ms: 1_300, attempts: 0 },
         ),
         (
-            request_log(true, &[], Ending::Closed { may_be_unread: false }),
+            request_log(true, &[], Ending::Closed { may_close_unread: false }),
             Violation::ClosedWithoutAnswer { id: id(), attempts: 0 },
         ),
         (
             // An attempt arrived at an endpoint, so the node had read the request.
-            request_log(true, &[Behaviour::Serve], Ending::Closed { may_be_unread: true }),
+            request_log(true, &[Behaviour::Serve], Ending::Closed { may_close_unread: true }),
             Violation::ClosedWithoutAnswer { id: id(), attempts: 1 },
         ),
         (
