--- a/src/net/descriptor_budget.rs
+++ b/src/net/descriptor_budget.rs
@@ -21,16 +21,17 @@
 /// How long a connection may take to close after it was asked to, before the next one is asked as well.
 const EVICTION_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Issues one permit for each open connection and selects the connections that are closed when none is left.
+/// Issues one permit for each open connection and selects the connections that are closed when no permit is
+/// left.
 pub struct DescriptorBudget {
     /// The number of permits in total.
-    max_connections: usize,
-    /// How many of the permits client connections may hold.
-    max_downstream: usize,
-    /// The number of permits in use. May exceed `max_connections` after `acquire_beyond_limit`.
-    open_connections: Cell<usize>,
+    max_permits: usize,
+    /// The largest number of permits that client connections may hold.
+    max_downstream_permits: usize,
+    /// The number of permits in use. May exceed `max_permits` after `acquire_beyond_limit`.
+    issued_permits: Cell<usize>,
     /// The number of permits that client connections hold.
-    open_downstream: Cell<usize>,
+    issued_downstream_permits: Cell<usize>,
     /// Notified when a permit is returned, when a connection becomes closable, and when a connection is
     /// classified.
     changed: Notify,
@@ -40,8 +41,8 @@
     unclassified: Cell<usize>,
     /// The client connections without an open request, in the order in which they are asked to close.
     idle_downstream: RefCell<BTreeMap<IdleRegistration, Rc<Notify>>>,
-    /// The client connections on which a request has arrived in part, in the order in which they may be
-    /// aborted.
+    /// The client connections on which a request has arrived in part, in the order in which they may be asked
+    /// to give it up.
     partial_requests: RefCell<BTreeMap<PartialRequestRegistration, Rc<Notify>>>,
 }
 
@@ -60,7 +61,7 @@
 /// connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PartialRequestRegistration {
-    /// From when on the connection may be aborted.
+    /// From when on the connection may be asked to give the request up.
     evictable_at: Instant,
     /// Distinguishes registrations with the same `evictable_at`.
     order: u64,
@@ -83,13 +84,13 @@
     /// Creates the budget of a process that may hold `descriptors` file descriptors, `RESERVED_DESCRIPTORS`
     /// of which are kept for other uses.
     pub fn new(descriptors: usize) -> Rc<Self> {
-        let max_connections = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_PERMITS);
-        let downstream_share = (max_connections as f64 * DOWNSTREAM_SHARE) as usize;
+        let max_permits = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_PERMITS);
+        let downstream_share = (max_permits as f64 * DOWNSTREAM_SHARE) as usize;
         Rc::new(DescriptorBudget {
-            max_connections,
-            max_downstream: downstream_share.max(MIN_DOWNSTREAM_PERMITS),
-            open_connections: Cell::new(0),
-            open_downstream: Cell::new(0),
+            max_permits,
+            max_downstream_permits: downstream_share.max(MIN_DOWNSTREAM_PERMITS),
+            issued_permits: Cell::new(0),
+            issued_downstream_permits: Cell::new(0),
             changed: Notify::new(),
             next_order: Cell::new(0),
             unclassified: Cell::new(0),
@@ -101,7 +102,7 @@
     /// Returns a permit for a client connection. Returns `None` if all permits, or all of the clients' share,
     /// are in use.
     pub fn try_acquire_downstream(self: &Rc<Self>) -> Option<DescriptorPermit> {
-        if self.open_downstream.get() >= self.max_downstream || self.is_exhausted() {
+        if self.issued_downstream_permits.get() >= self.max_downstream_permits || self.is_exhausted() {
             return None;
         }
         Some(self.issue(Side::Downstream))
@@ -115,26 +116,26 @@
         Some(self.issue(Side::Upstream))
     }
 
-    /// Returns a permit for a client connection even if the limits are reached; its descriptor is one of the
-    /// reserved.
+    /// Returns a permit for a client connection even if the limits are reached. The connection may use one of
+    /// the reserved descriptors.
     ///
-    /// For the connections that are in the backlog when the listener closes, since no other process serves
-    /// them.
+    /// This is for connections in the backlog when the listener closes: if the node did not accept them, they
+    /// would be reset.
     pub fn acquire_beyond_limit(self: &Rc<Self>) -> DescriptorPermit {
         self.issue(Side::Downstream)
     }
 
     fn issue(self: &Rc<Self>, side: Side) -> DescriptorPermit {
-        self.open_connections.set(self.open_connections.get() + 1);
+        self.issued_permits.set(self.issued_permits.get() + 1);
         if side == Side::Downstream {
-            self.open_downstream.set(self.open_downstream.get() + 1);
+            self.issued_downstream_permits.set(self.issued_downstream_permits.get() + 1);
         }
         DescriptorPermit { budget: self.clone(), side }
     }
 
     /// Returns whether all permits are in use, and not only the clients' share of them.
     pub fn is_exhausted(&self) -> bool {
-        self.open_connections.get() >= self.max_connections
+        self.issued_permits.get() >= self.max_permits
     }
 
     /// Waits until `try_acquire` returns a permit, and calls `close_one` to have connections closed until
@@ -164,7 +165,8 @@
         }
     }
 
-    /// Waits until the budget changes or the first connection with a partial request may be aborted.
+    /// Waits until the budget changes, or until the first connection with a partial request may be asked to
+    /// give it up.
     async fn wait_for_eviction(&self, changed: impl Future<Output = ()>) {
         let evictable_at = self.partial_requests.borrow().keys().next().map(|first| first.evictable_at);
         match evictable_at {
@@ -186,8 +188,7 @@
         }
     }
 
-    /// Wakes the tasks that wait for a permit, because a permit was returned or a connection can be closed
-    /// now.
+    /// Wakes the tasks that wait for a permit, after a change that may free one.
     pub fn notify_waiters(&self) {
         self.changed.notify_waiters();
     }
@@ -201,14 +202,15 @@
     }
 
     /// Registers a client connection on which a request has arrived in part. From `evictable_at` on, the
-    /// budget may notify `abort` to have the connection aborted.
+    /// budget may notify `give_up`. The connection then ends, unless the request has arrived in full, or more
+    /// of it is unread and its time is not over.
     pub fn register_partial_request(
         &self,
-        abort: Rc<Notify>,
+        give_up: Rc<Notify>,
         evictable_at: Instant,
     ) -> PartialRequestRegistration {
         let registration = PartialRequestRegistration { evictable_at, order: self.next_order() };
-        self.partial_requests.borrow_mut().insert(registration, abort);
+        self.partial_requests.borrow_mut().insert(registration, give_up);
         self.notify_waiters();
         registration
     }
@@ -231,42 +233,43 @@
     }
 
     /// Counts a new client connection as unclassified: whether it sends a request is not known yet.
-    pub fn connection_opened(&self) {
+    pub fn add_unclassified(&self) {
         self.unclassified.set(self.unclassified.get() + 1);
     }
 
     /// Stops counting a client connection as unclassified: it has sent a request, has been without one for
     /// long enough to count as idle, or is closed.
-    pub fn connection_classified(&self) {
+    pub fn remove_unclassified(&self) {
         self.unclassified.set(self.unclassified.get() - 1);
         self.notify_waiters();
     }
 
-    /// Asks one client connection to close. Returns `false` if no client connection may be closed.
+    /// Asks one client connection to close or to give up its partial request. Returns `false` if there is no
+    /// connection that may be asked.
     ///
     /// An idle connection that has never sent a request is closed first. If there is none, the connection
-    /// whose partial request became evictable first is aborted. If there is none of these either, the
-    /// connection that has been idle for longest is closed.
+    /// whose partial request became evictable first is asked to give it up. If there is none of these either,
+    /// the connection that has been idle for longest is closed.
     ///
     /// While the number of unclassified connections is at least half of the clients' share, idle connections
     /// that have sent requests are not closed: otherwise a flood of connections without requests would evict
     /// the connections in use. If fewer are unclassified, such idle connections are closed, because sparing
     /// them would keep new clients waiting.
-    pub fn close_idle_downstream(&self) -> bool {
+    pub fn evict_downstream(&self) -> bool {
         self.close_first_idle(|first| !first.has_sent_request)
-            || self.abort_partial_request()
-            || self.close_first_idle(|_| !self.is_flooded())
+            || self.give_up_partial_request()
+            || self.close_first_idle(|_| !self.is_flooded_by_new_connections())
     }
 
     /// Returns whether the client connections with a partial request hold at least half of the clients'
     /// share.
     pub fn is_flooded_by_partial_requests(&self) -> bool {
-        self.partial_requests.borrow().len() * 2 >= self.max_downstream
+        self.partial_requests.borrow().len() * 2 >= self.max_downstream_permits
     }
 
-    /// Returns whether at least half of the clients' share is unclassified.
-    fn is_flooded(&self) -> bool {
-        self.unclassified.get() * 2 >= self.max_downstream
+    /// Returns whether unclassified connections hold at least half of the clients' share.
+    fn is_flooded_by_new_connections(&self) -> bool {
+        self.unclassified.get() * 2 >= self.max_downstream_permits
     }
 
     fn close_first_idle(&self, may_close: impl Fn(&IdleRegistration) -> bool) -> bool {
@@ -275,7 +278,7 @@
         first.map(|first| first.remove().notify_one()).is_some()
     }
 
-    fn abort_partial_request(&self) -> bool {
+    fn give_up_partial_request(&self) -> bool {
         let now = Instant::now();
         let mut partial_requests = self.partial_requests.borrow_mut();
         let first = partial_requests.first_entry().filter(|first| first.key().evictable_at <= now);
@@ -284,16 +287,16 @@
 
     /// Returns the number of open client connections.
     pub fn downstream_connections(&self) -> usize {
-        self.open_downstream.get()
+        self.issued_downstream_permits.get()
     }
 }
 
 impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         let budget = &self.budget;
-        budget.open_connections.set(budget.open_connections.get() - 1);
+        budget.issued_permits.set(budget.issued_permits.get() - 1);
         if self.side == Side::Downstream {
-            budget.open_downstream.set(budget.open_downstream.get() - 1);
+            budget.issued_downstream_permits.set(budget.issued_downstream_permits.get() - 1);
         }
         budget.notify_waiters();
     }
--- a/src/net/downstream/connection.rs
+++ b/src/net/downstream/connection.rs
@@ -56,9 +56,10 @@
 }
 
 impl DownstreamConnection {
-    /// Serves the connection until it is closed, then returns `permit` to the descriptor budget. After a
-    /// change of `close_when_idle` the connection is closed as soon as it is idle.
-    pub async fn run(self, permit: DescriptorPermit, close_when_idle: watch::Receiver<u32>) {
+    /// Serves the connection until it is closed, then returns `permit` to the descriptor budget. After
+    /// `close_idle_generation` has changed, the connection is closed as soon as it is idle; the value itself
+    /// has no meaning.
+    pub async fn run(self, permit: DescriptorPermit, close_idle_generation: watch::Receiver<u32>) {
         let _permit = permit;
         let _registration = self.registry.register(&self.state);
         // A failure is ignored: without the option responses may be delayed, but they are still correct.
@@ -69,7 +70,7 @@
             .header_read_timeout(None)
             .serve_connection(TokioIo::new(observed), service_fn(|request| self.respond(request)));
         let mut http_connection = pin!(http_connection);
-        match self.serve_until_closing(http_connection.as_mut(), close_when_idle).await {
+        match self.serve_until_closing(http_connection.as_mut(), close_idle_generation).await {
             ServingEnd::Ended => socket::linger(&self.stream).await,
             ServingEnd::Aborted => {}
             ServingEnd::ReadyToClose => {
@@ -105,7 +106,7 @@
     async fn serve_until_closing(
         &self,
         mut http_connection: Pin<&mut impl Future>,
-        mut close_when_idle: watch::Receiver<u32>,
+        mut close_idle_generation: watch::Receiver<u32>,
     ) -> ServingEnd {
         // The first request of a new connection may still be unread, so the connection counts as idle only
         // after it has had no request for `FIRST_REQUEST_TIMEOUT`.
@@ -125,9 +126,9 @@
                     }
                 }
                 () = self.state.close_requested() => close_due = self.start_closing(),
-                Ok(()) = close_when_idle.changed() => close_due = self.start_closing(),
-                // Limits the time of a client that neither completes a request head nor reads its last
-                // response.
+                Ok(()) = close_idle_generation.changed() => close_due = self.start_closing(),
+                // Limits the time of a client that does not complete a request head, or does not read its
+                // last response.
                 () = sleep_until(close_due), if self.state.is_closing() => {
                     if !self.state.request_in_progress() {
                         return ServingEnd::Aborted;
--- a/src/net/downstream/connection_state.rs
+++ b/src/net/downstream/connection_state.rs
@@ -19,7 +19,9 @@
 use crate::net::downstream::framing::BodyFraming;
 use crate::net::downstream::pipeline::Pipeline;
 
-/// How long a request head may take to arrive, counted from the connect or from the head's first byte.
+/// How long a request head may take to arrive, counted from the connect, from the head's first byte or, if
+/// that byte was read ahead, from the previous response. The registry checks this every
+/// `HEAD_CHECK_INTERVAL`.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// When descriptors run out, a request that has arrived in part may be given up this long after its latest
 /// byte.
@@ -28,8 +30,8 @@
 /// byte, even if the client goes on sending.
 const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_millis(750);
 /// Replaces `PARTIAL_REQUEST_TIMEOUT` while partial requests hold at least half of the clients' share of
-/// descriptors. If slow clients fill that share several times over, other clients wait this long for each
-/// time.
+/// descriptors. If slow clients wait in the backlog as well, each round of evictions takes this long, so it
+/// is shorter than the usual timeout.
 const FLOODED_PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The registration of a connection that may be closed or aborted when descriptors run out.
@@ -75,7 +77,7 @@
     /// Creates the state of a connection that was just accepted, and counts it as unclassified in the budget.
     /// If `closing` is set, the connection closes after its first response.
     pub fn new(budget: Rc<DescriptorBudget>, closing: bool) -> Self {
-        budget.connection_opened();
+        budget.add_unclassified();
         ConnectionState {
             budget,
             close_requested: Rc::default(),
@@ -128,7 +130,7 @@
     pub fn request_received(&self) {
         self.body_awaited.set(false);
         self.partial_request_since.set(None);
-        self.deregister();
+        self.unregister();
     }
 
     /// Records that the response to the request in progress is ready.
@@ -138,7 +140,7 @@
         if self.has_partial_request() {
             self.head_started_at.set(Some(Instant::now()));
         }
-        self.register_without_request();
+        self.register_for_eviction();
     }
 
     /// Records that the time for the first request of a new connection is over. A connection without one
@@ -146,7 +148,7 @@
     pub fn first_request_timed_out(&self) {
         self.mark_classified();
         if !self.has_sent_request.get() {
-            self.register_without_request();
+            self.register_for_eviction();
         }
     }
 
@@ -203,7 +205,7 @@
     /// Returns whether no request is in progress, none was read in part, and the connection is not so new
     /// that its first request may still be unread.
     pub fn has_no_request(&self) -> bool {
-        !self.request_in_progress.get() && !self.pipeline.borrow().has_partial_request() && !self.is_new.get()
+        !self.request_in_progress.get() && !self.pipeline.borrow().has_read_ahead() && !self.is_new.get()
     }
 
     /// Returns whether a request head has been arriving, or expected on a new connection, for longer than
@@ -217,7 +219,7 @@
     /// Stops counting the connection as unclassified in the budget, unless this was done before.
     fn mark_classified(&self) {
         if self.is_new.replace(false) {
-            self.budget.connection_classified();
+            self.budget.remove_unclassified();
         }
     }
 
@@ -226,16 +228,17 @@
         if self.request_in_progress.get() {
             self.body_awaited.get()
         } else {
-            self.pipeline.borrow().has_partial_request()
+            self.pipeline.borrow().has_read_ahead()
         }
     }
 
-    /// Registers the connection as idle or as having a partial request. No request is in progress on it.
-    fn register_without_request(&self) {
+    /// Registers the connection as idle or as having a partial request, so that it may be evicted. No request
+    /// is in progress on it.
+    fn register_for_eviction(&self) {
         if self.has_partial_request() {
             return self.register_partial_request();
         }
-        self.deregister();
+        self.unregister();
         let registration =
             self.budget.register_idle(self.close_requested.clone(), self.has_sent_request.get());
         self.eviction_registration.set(Some(EvictionRegistration::Idle(registration)));
@@ -259,14 +262,14 @@
         if self.is_new.get() {
             return;
         }
-        self.deregister();
+        self.unregister();
         let evictable_at = (now + PARTIAL_REQUEST_STALL).min(since + self.partial_request_timeout());
         let registration = self.budget.register_partial_request(self.give_up_requested.clone(), evictable_at);
         self.eviction_registration.set(Some(EvictionRegistration::PartialRequest(registration)));
     }
 
     /// Removes the connection from those that may be evicted.
-    fn deregister(&self) {
+    fn unregister(&self) {
         match self.eviction_registration.take() {
             Some(EvictionRegistration::Idle(registration)) => self.budget.unregister_idle(registration),
             Some(EvictionRegistration::PartialRequest(registration)) => {
@@ -280,6 +283,6 @@
 impl Drop for ConnectionState {
     fn drop(&mut self) {
         self.mark_classified();
-        self.deregister();
+        self.unregister();
     }
 }
--- a/src/net/downstream/handler.rs
+++ b/src/net/downstream/handler.rs
@@ -52,8 +52,8 @@
             Ok(client_response) => client_response,
             Err(error) => ClientResponse::Invalid(error),
         };
-        // The pipeline does not find the end of a chunked body in the bytes read ahead, so no further request
-        // is read after one.
+        // The pipeline cannot tell where a chunked body ends within the bytes read ahead, so the connection
+        // closes after a request with such a body.
         let closes = client_response.closes_connection()
             || framing == BodyFraming::Chunked
             || self.event_loop.is_shutting_down();
@@ -99,7 +99,8 @@
         let _disconnect_guard = DisconnectGuard { event_loop: &self.event_loop, request: &request };
         Ok(match timeout_at(response_due, response).await {
             Ok(Ok(response)) => response.into(),
-            // This is a failure and not a rejection, because an attempt may have run.
+            // The event loop dropped the sender without a response. An attempt may have run, so this is not a
+            // rejection.
             Ok(Err(_)) => ClientResponse::Failed,
             Err(_) => ClientResponse::TimedOut,
         })
--- a/src/net/downstream/listener.rs
+++ b/src/net/downstream/listener.rs
@@ -20,9 +20,9 @@
 use crate::net::downstream::socket;
 use crate::net::event_loop::EventLoop;
 
-/// The longest time that the node waits for the first endpoint list before it accepts connections. A
+/// The longest time that the node waits for the first response of discovery before it accepts connections. A
 /// discovery agent that is up responds immediately; one that does not respond must not keep clients waiting.
-const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(250);
+const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
 /// The pause after a failure to accept a connection.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
@@ -32,12 +32,12 @@
     handler: Rc<RequestHandler>,
     budget: Rc<DescriptorBudget>,
     registry: Rc<ConnectionRegistry>,
-    /// A version number. Each change makes the connections that are open at that time close as soon as they
-    /// are idle.
-    close_idle_connections: watch::Sender<u32>,
-    /// Whether the listener is closing. Connections accepted while it is set close after their first
-    /// response.
-    listener_closed: Cell<bool>,
+    /// Incremented to make the connections that are open at that time close as soon as they are idle. The
+    /// value itself has no meaning.
+    close_idle_generation: watch::Sender<u32>,
+    /// Whether the listener is closing. This is set before the connections in the backlog are accepted, which
+    /// then close after their first response.
+    listener_closing: Cell<bool>,
     /// Notified when the listener has to close.
     stop_accepting: Notify,
 }
@@ -57,31 +57,32 @@
             handler,
             budget,
             registry: ConnectionRegistry::new(),
-            close_idle_connections: watch::Sender::new(0),
-            listener_closed: Cell::new(false),
+            close_idle_generation: watch::Sender::new(0),
+            listener_closing: Cell::new(false),
             stop_accepting: Notify::new(),
         })
     }
 
     /// Makes each connection that is open now close as soon as it is idle.
     pub fn close_idle_connections(&self) {
-        self.close_idle_connections.send_modify(|version| *version += 1);
+        self.close_idle_generation.send_modify(|generation| *generation += 1);
     }
 
     /// Makes the listener close after the connections in its backlog have been accepted.
     pub fn close_listener(&self) {
-        self.listener_closed.set(true);
+        self.listener_closing.set(true);
         self.stop_accepting.notify_one();
     }
 
     /// Accepts connections until `close_listener` is called, then those in the backlog.
     ///
-    /// Before it accepts the first connection, it waits for `first_list`, for `FIRST_LIST_TIMEOUT` at most: a
-    /// change that the discovery agent already holds applies to the node from its start on, and the endpoint
-    /// list in the node's configuration may be out of date. If no descriptor is left, idle connections are
-    /// closed, and new ones wait in the backlog meanwhile.
-    pub async fn accept(self: Rc<Self>, listener: TcpListener, first_list: impl Future<Output = ()>) {
-        let _ = timeout(FIRST_LIST_TIMEOUT, first_list).await;
+    /// Before it accepts the first connection, it waits for `first_response`, for `FIRST_RESPONSE_TIMEOUT` at
+    /// most: a change that the discovery agent already holds counts as notified from the node's start on (see
+    /// [`NOTIFIED_AFTER`](crate::net::discovery::timeout::NOTIFIED_AFTER)), and the endpoint list in the
+    /// node's configuration may be out of date. If no descriptor is left, idle connections are closed, and
+    /// new ones wait in the backlog meanwhile.
+    pub async fn accept(self: Rc<Self>, listener: TcpListener, first_response: impl Future<Output = ()>) {
+        let _ = timeout(FIRST_RESPONSE_TIMEOUT, first_response).await;
         loop {
             let accepted = tokio::select! {
                 accepted = self.accept_one(&listener) => accepted,
@@ -91,7 +92,7 @@
                 Ok(Accepted { stream, permit }) => self.serve(stream, permit),
                 Err(error) => {
                     eprintln!("edge-node: accepting a connection failed: {error}; retrying");
-                    self.budget.close_idle_downstream();
+                    self.budget.evict_downstream();
                     sleep(ACCEPT_RETRY_PAUSE).await;
                 }
             }
@@ -112,7 +113,7 @@
     async fn acquire_permit(&self) -> DescriptorPermit {
         let close_one = || {
             let upstream_closed = self.budget.is_exhausted() && self.event_loop.upstreams.close_oldest_idle();
-            upstream_closed || self.budget.close_idle_downstream()
+            upstream_closed || self.budget.evict_downstream()
         };
         self.budget.acquire_or_evict(|| self.budget.try_acquire_downstream(), close_one).await
     }
@@ -134,13 +135,13 @@
     /// Starts the task that serves a connection.
     fn serve(&self, stream: TcpStream, permit: DescriptorPermit) {
         socket::clear_assumed_readiness(&stream);
-        let state = ConnectionState::new(self.budget.clone(), self.listener_closed.get());
+        let state = ConnectionState::new(self.budget.clone(), self.listener_closing.get());
         let connection = DownstreamConnection {
             handler: self.handler.clone(),
             registry: self.registry.clone(),
             stream: Rc::new(stream),
             state: Rc::new(state),
         };
-        tokio::task::spawn_local(connection.run(permit, self.close_idle_connections.subscribe()));
+        tokio::task::spawn_local(connection.run(permit, self.close_idle_generation.subscribe()));
     }
 }
--- a/src/net/downstream/pipeline.rs
+++ b/src/net/downstream/pipeline.rs
@@ -62,9 +62,9 @@
         length_header
     }
 
-    /// Returns whether at least one byte of a further request was received. Empty lines before it don't
-    /// count.
-    pub fn has_partial_request(&self) -> bool {
+    /// Returns whether at least one byte of a further request was read ahead; the request may be complete.
+    /// Empty lines before it don't count.
+    pub fn has_read_ahead(&self) -> bool {
         self.read_ahead.iter().any(|byte| !matches!(byte, b'\r' | b'\n'))
     }
 
--- a/src/net/downstream/request.rs
+++ b/src/net/downstream/request.rs
@@ -146,7 +146,7 @@
 
 /// The content of the weight header ([`headers::WEIGHT`]).
 struct UnitsAndAccountNodes {
-    /// How many units of the quota the request uses.
+    /// How many units of the account's quota the request uses.
     units: f64,
     /// The number of nodes that get the account's requests.
     account_node_count: u32,
@@ -186,15 +186,15 @@
         let plan = self.plan(&head.headers)?;
         let account = account(head.uri.query())?;
         let deadline_ms = deadline_ms(&head.headers)?;
-        let quota = self.units_and_account_nodes(&head.headers)?;
+        let weight_header = self.units_and_account_nodes(&head.headers)?;
         Ok(NewRequest {
             id,
             account,
             class: class.index,
             plan,
-            units: quota.units,
-            first_account_node: quota.first_account_node,
-            account_node_count: quota.account_node_count,
+            units: weight_header.units,
+            first_account_node: weight_header.first_account_node,
+            account_node_count: weight_header.account_node_count,
             is_retry: header_text(&head.headers, &headers::RETRY) == Some("1"),
             deadline: received_at + deadline_ms * 1000,
         })
@@ -215,15 +215,15 @@
     fn units_and_account_nodes(&self, headers: &HeaderMap) -> Result<UnitsAndAccountNodes, RequestError> {
         header_text(headers, &headers::WEIGHT)
             .and_then(parse_weight)
-            .filter(|quota| self.is_in_range(quota))
+            .filter(|weight_header| self.is_in_range(weight_header))
             .ok_or(RequestError::NoWeight)
     }
 
-    fn is_in_range(&self, quota: &UnitsAndAccountNodes) -> bool {
-        quota.units > 0.0
-            && quota.units <= self.max_request_units
-            && (1..=self.node_count).contains(&quota.account_node_count)
-            && quota.first_account_node < self.node_count
+    fn is_in_range(&self, weight_header: &UnitsAndAccountNodes) -> bool {
+        weight_header.units > 0.0
+            && weight_header.units <= self.max_request_units
+            && (1..=self.node_count).contains(&weight_header.account_node_count)
+            && weight_header.first_account_node < self.node_count
     }
 }
 
--- a/src/net/downstream/socket.rs
+++ b/src/net/downstream/socket.rs
@@ -20,9 +20,9 @@
 /// Clears the readiness that the runtime assumes for a new connection, so that it asks the kernel for the
 /// state of the socket.
 ///
-/// The runtime assumes that a new connection is readable and that the client has not closed it. But the
-/// client may have disconnected while the connection was in the backlog, and this would not be detected
-/// behind the bytes it sent before.
+/// The runtime assumes that a new connection is readable and that the client has not closed it. The client
+/// may have disconnected while the connection was in the backlog. If it had sent bytes before, the assumed
+/// readiness would hide the disconnect.
 pub fn clear_assumed_readiness(stream: &TcpStream) {
     let not_ready = || Err::<(), _>(io::Error::from(io::ErrorKind::WouldBlock));
     let _ = stream.try_io(Interest::READABLE, not_ready);
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -54,7 +54,8 @@
 /// pool are not reused.
 pub(super) struct EndpointPool {
     address: SocketAddr,
-    /// When the endpoint last started, in milliseconds of Unix time; 0 if that was long ago.
+    /// When the endpoint last started, in milliseconds of Unix time; 0 if its list entry gives no time, which
+    /// is treated as a start long ago.
     started_at_ms: u64,
     /// The `Host` header of requests on these connections.
     pub(super) host: HeaderValue,
@@ -238,7 +239,7 @@
 
     /// Waits for a permit for one more connection. If none is free, idle connections are closed to free one.
     async fn acquire_permit(&self) -> DescriptorPermit {
-        let close_one = || self.close_oldest_idle() || self.budget.close_idle_downstream();
+        let close_one = || self.close_oldest_idle() || self.budget.evict_downstream();
         self.budget.acquire_or_evict(|| self.budget.try_acquire_upstream(), close_one).await
     }
 
--- a/tests/connection_close_races.rs
+++ b/tests/connection_close_races.rs
@@ -80,7 +80,7 @@
     }
     for partial in &mut clients {
         let response = partial.client.response_or_end();
-        let response = response.expect("the partial request is served before its connection closes");
+        let response = response.expect("the partial request should be served before its connection closes");
         assert_eq!(response.body, partial.id.as_bytes());
         assert_eq!(response.header("connection"), Some("close"));
     }
@@ -190,8 +190,8 @@
     let read_by = Instant::now();
     let deadline_ms = |request: &ReceivedRequest| -> u128 {
         let header =
-            request.message.header("x-deadline-ms").expect("the attempt has an X-Deadline-Ms header");
-        header.parse().expect("X-Deadline-Ms is an integer")
+            request.message.header("x-deadline-ms").expect("the attempt should have an X-Deadline-Ms header");
+        header.parse().expect("X-Deadline-Ms should be an integer")
     };
     assert!(deadline_ms(&first) <= 20_000);
     sleep(Duration::from_millis(400));
@@ -214,14 +214,14 @@
     for text in [format!("\r\n{head}slip!"), format!("{}slip!", head.replace('\r', ""))] {
         let mut in_one_piece = Pipeline::new();
         in_one_piece.bytes_received(format!("{text}\r\n").as_bytes());
-        assert!(in_one_piece.has_partial_request());
+        assert!(in_one_piece.has_read_ahead());
         in_one_piece.request_started(Some(5));
         assert!(
-            !in_one_piece.has_partial_request(),
-            "expected empty lines not to count as a partial request"
+            !in_one_piece.has_read_ahead(),
+            "expected empty lines not to count as bytes of a further request"
         );
         in_one_piece.bytes_received(b"P");
-        assert!(in_one_piece.has_partial_request());
+        assert!(in_one_piece.has_read_ahead());
         let mut byte_by_byte = Pipeline::new();
         let (before_body, body) = text.split_at(text.len() - 5);
         for byte in before_body.bytes() {
@@ -231,16 +231,16 @@
         for byte in body.bytes() {
             byte_by_byte.bytes_received(&[byte]);
         }
-        assert!(!byte_by_byte.has_partial_request());
+        assert!(!byte_by_byte.has_read_ahead());
         byte_by_byte.bytes_received(text.as_bytes());
-        assert!(byte_by_byte.has_partial_request());
+        assert!(byte_by_byte.has_read_ahead());
     }
     // No request is served after a body whose end is unknown.
     let mut endless = Pipeline::new();
     endless.bytes_received(head.as_bytes());
     endless.request_started(None);
     endless.bytes_received(head.as_bytes());
-    assert!(!endless.has_partial_request());
+    assert!(!endless.has_read_ahead());
 }
 
 #[test]
--- a/tests/partial_requests.rs
+++ b/tests/partial_requests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn partial_request_is_given_up_only_if_none_of_it_is_unread() {
+fn partial_request_that_is_not_overdue_is_given_up_only_if_none_of_it_is_unread() {
     let half_of_head = connection_with(&HEAD[..HEAD.len() / 2]);
     assert!(!half_of_head.may_give_up_partial_request(|| true));
     assert!(half_of_head.may_give_up_partial_request(|| false));
