--- a/src/app.rs
+++ b/src/app.rs
@@ -168,18 +168,18 @@
 
     /// Accepts clients until the listener closes.
     ///
-    /// If an agent pushes the endpoint list, the first clients are accepted only after the list has arrived
-    /// or the wait for it has timed out. If the nodes poll a shared service, clients are accepted at once,
-    /// because the first calls of the nodes to that service are spread over time.
+    /// If an agent pushes the endpoint list, the first clients are accepted only after the first response of
+    /// discovery was applied or the wait for it has timed out. If the nodes poll a shared service, clients
+    /// are accepted at once, because the first calls of the nodes to that service are spread over time.
     fn accept(&self, listener: TcpListener) -> impl Future<Output = ()> + 'static {
         let discovery = self.discovery.clone();
         let polls_endpoint_list = self.polls_endpoint_list;
-        let first_list = async move {
+        let first_response = async move {
             if !polls_endpoint_list {
-                discovery.wait_for_first_snapshot().await;
+                discovery.wait_for_first_response().await;
             }
         };
-        self.downstream.clone().accept(listener, first_list)
+        self.downstream.clone().accept(listener, first_response)
     }
 
     fn events(&self) -> Rc<dyn EventSink> {
@@ -197,8 +197,8 @@
     }
 
     /// Performs a graceful shutdown by the schedule: closes idle connections, then closes the listener, then
-    /// fails the requests that have no final response. Returns once every request is answered and every
-    /// response is written, and at the schedule's `exit_at` at the latest.
+    /// fails the requests that have no final response. Returns once the node is drained (see
+    /// [`is_drained`](Self::is_drained)), and at the schedule's `exit_at` at the latest.
     ///
     /// Idle connections are closed a second time after the listener, because clients may have opened new ones
     /// in between. From then on, the remaining steps are cut short as soon as the node is drained.
@@ -210,6 +210,7 @@
         self.downstream.close_idle_connections();
         sleep_until(started_at + schedule.close_listener_at).await;
         self.downstream.close_listener();
+        // The decision engine is notified only now, because clients can connect until the listener closes.
         self.event_loop.send(Event::ShutdownStarted);
         self.downstream.close_idle_connections();
         self.drain_until(started_at + schedule.fail_requests_at, accepting).await;
--- a/src/config.rs
+++ b/src/config.rs
@@ -77,7 +77,7 @@
     use crate::protocol::settings::SettingsDocument;
 
     /// Maximum number of file descriptors if the file names none.
-    const DEFAULT_SOCKETS: usize = 1024;
+    const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
 
     #[derive(Deserialize)]
     pub struct Config {
@@ -111,7 +111,7 @@
 
     impl Default for ResourceLimits {
         fn default() -> Self {
-            ResourceLimits { sockets: DEFAULT_SOCKETS }
+            ResourceLimits { sockets: DEFAULT_MAX_DESCRIPTORS }
         }
     }
 }
--- a/src/net/counter/client.rs
+++ b/src/net/counter/client.rs
@@ -46,8 +46,9 @@
         })
     }
 
-    /// Adds `amount` units to the counter `key`. The counter service keeps the counter for `keep_for`, in
-    /// microseconds.
+    /// Adds `amount` units to the counter `key`. `keep_for` is the lifetime, in microseconds, of a counter
+    /// that this call creates. It is limited to the range from 1 ms to `MAX_KEEP_MS`, and the amount to
+    /// +/-`MAX_AMOUNT`.
     ///
     /// The outcome is sent to `events` as [`Event::CounterReplied`]. The call fails at once with
     /// [`Outcome::ConnectFailed`] if there is no counter service, if `amount` is not finite, or if the queue
--- a/src/net/counter/connection.rs
+++ b/src/net/counter/connection.rs
@@ -63,8 +63,8 @@
     /// Opens a connection to `address` before the first queued call times out.
     ///
     /// Returns `None` if the queue is empty or the connection is not established. In the latter case calls
-    /// are reported as [`Outcome::ConnectFailed`], since they were not added: all queued calls if the
-    /// connection was refused, otherwise those that have timed out.
+    /// are reported as [`Outcome::ConnectFailed`], since they were not added: all queued calls if connecting
+    /// failed, otherwise those that have timed out.
     async fn connect(
         &self,
         results: &ResultSink,
@@ -78,12 +78,12 @@
             let _ = stream.set_nodelay(true);
             return Some(stream);
         }
-        let was_refused = connected.is_ok();
+        let connect_failed = connected.is_ok();
         // Covers only the calls that are queued now: reporting the end of a call may queue another one.
         let queued = self.queue.borrow().len();
         for _ in 0..queued {
             let has_failed =
-                |call: &mut QueuedCall| was_refused || call.made_at + call_timeout <= Instant::now();
+                |call: &mut QueuedCall| connect_failed || call.made_at + call_timeout <= Instant::now();
             let failed = self.queue.borrow_mut().pop_front_if(has_failed);
             let Some(call) = failed else { break };
             results.report(call.increment.key, Outcome::ConnectFailed, 0.0);
@@ -147,7 +147,7 @@
     /// A reply is malformed.
     #[error("malformed reply from the counter service")]
     MalformedReply(#[source] ReplyError),
-    /// A reply began to arrive, and its rest did not arrive within half a call timeout.
+    /// A part of a reply has arrived, and no further byte for half a call timeout.
     #[error("incomplete reply from the counter service")]
     IncompleteReply,
 }
@@ -159,13 +159,13 @@
     /// Received bytes that are not a complete reply yet.
     incoming: BytesMut,
     /// The total length of all calls encoded for this connection, in bytes.
-    queued_bytes: u64,
-    /// How many of the `queued_bytes` have been written.
+    encoded_bytes: u64,
+    /// How many of the `encoded_bytes` have been written.
     written_bytes: u64,
     /// The calls without a reply, in the order in which they are sent. Replies arrive in this order.
     pending: VecDeque<PendingIncrement>,
     /// When the last bytes of an incomplete reply arrived; `None` if `incoming` is empty.
-    partial_reply_since: Option<Instant>,
+    partial_reply_received_at: Option<Instant>,
     /// When bytes last arrived, or when the session started if none have.
     last_received_at: Instant,
     call_timeout: Duration,
@@ -177,7 +177,7 @@
     call_expires_at: Option<Instant>,
     /// When the connection is closed because the counter service is not responding.
     not_responding_at: Option<Instant>,
-    /// When the connection is closed because the rest of a reply has not arrived.
+    /// When the connection is closed because no further byte of an incomplete reply has arrived.
     reply_incomplete_at: Option<Instant>,
 }
 
@@ -207,10 +207,10 @@
         Session {
             outgoing: BytesMut::new(),
             incoming: BytesMut::new(),
-            queued_bytes: 0,
+            encoded_bytes: 0,
             written_bytes: 0,
             pending: VecDeque::new(),
-            partial_reply_since: None,
+            partial_reply_received_at: None,
             last_received_at: Instant::now(),
             call_timeout,
         }
@@ -252,11 +252,11 @@
         for call in connection.queue.borrow_mut().drain(..) {
             let length_before = self.outgoing.len();
             encode(&mut self.outgoing, &call.increment);
-            self.queued_bytes += (self.outgoing.len() - length_before) as u64;
+            self.encoded_bytes += (self.outgoing.len() - length_before) as u64;
             self.pending.push_back(PendingIncrement {
                 key: call.increment.key,
                 made_at: call.made_at,
-                ends_at_byte: self.queued_bytes,
+                ends_at_byte: self.encoded_bytes,
                 timed_out: false,
             });
         }
@@ -271,7 +271,9 @@
         SessionTimers {
             call_expires_at: oldest_waiting.map(|call| call.made_at + self.call_timeout),
             not_responding_at: self.pending.front().map(not_responding_at),
-            reply_incomplete_at: self.partial_reply_since.map(|since| since + self.call_timeout / 2),
+            reply_incomplete_at: self
+                .partial_reply_received_at
+                .map(|received_at| received_at + self.call_timeout / 2),
         }
     }
 
@@ -310,15 +312,15 @@
                 Reply::Rejected => results.report_pending(&call, Outcome::Rejected, 0.0),
             }
         }
-        self.partial_reply_since = (!self.incoming.is_empty()).then(Instant::now);
+        self.partial_reply_received_at = (!self.incoming.is_empty()).then(Instant::now);
         Ok(())
     }
 
     /// Reports the calls that have timed out.
     ///
     /// # Errors
-    /// If the rest of an incomplete reply is overdue or the counter service is not responding. Then no call
-    /// is reported here.
+    /// If the next byte of an incomplete reply is overdue or the counter service is not responding. Then no
+    /// call is reported here.
     fn timer_fired(&mut self, timers: &SessionTimers, results: &ResultSink) -> Result<(), ConnectionEnd> {
         let now = Instant::now();
         let has_passed = |time: Option<Instant>| time.is_some_and(|time| time <= now);
--- a/src/net/discovery/apply.rs
+++ b/src/net/discovery/apply.rs
@@ -95,8 +95,8 @@
 pub struct ListApplier {
     directory: Rc<dyn EndpointDirectory>,
     labels: Arc<PlacementLabels>,
-    /// The newest version applied; `None` before the first list and after a move, because each discovery
-    /// counts its own versions.
+    /// The newest version applied. `None` until a list was applied (the list from the configuration is
+    /// applied at the start), and after a move, because each discovery counts its own versions.
     version: Cell<Option<u64>>,
     /// The number of moves of discovery since the start. A response to a call that was made before a move is
     /// not valid after it.
@@ -106,8 +106,8 @@
     long_list_lock: Mutex<()>,
     /// Whether the decision engine is being notified of a long list in parts.
     is_publishing: watch::Sender<bool>,
-    /// Whether discovery has sent a list, or confirmed the known one, since the start.
-    first_snapshot: watch::Sender<bool>,
+    /// Whether a response of discovery was applied since the start, even one without a change.
+    first_response: watch::Sender<bool>,
 }
 
 impl ListApplier {
@@ -121,7 +121,7 @@
             applied_count: Cell::default(),
             long_list_lock: Mutex::default(),
             is_publishing: watch::channel(false).0,
-            first_snapshot: watch::channel(false).0,
+            first_response: watch::channel(false).0,
         })
     }
 
@@ -142,21 +142,22 @@
         self.version.set(None);
     }
 
-    /// Records a version that contains no change.
+    /// Records that discovery has reached `version`, without applying a list. A version older than the known
+    /// one does not replace it. In either case `wait_for_first_response` returns from then on.
     pub fn record_version(&self, version: u64) {
         self.version.set(self.version.get().max(Some(version)));
-        self.signal_first_snapshot();
+        self.signal_first_response();
     }
 
-    /// Waits until discovery has sent its first list or confirmed the known one. Returns at once if it has
-    /// done so since the start.
-    pub async fn wait_for_first_snapshot(&self) {
+    /// Waits until the first response of discovery is applied, even if it contains no change. Returns at once
+    /// if a response was applied since the start.
+    pub async fn wait_for_first_response(&self) {
         // The wait cannot fail: `self` owns the sender.
-        let _ = self.first_snapshot.subscribe().wait_for(|&is_received| is_received).await;
+        let _ = self.first_response.subscribe().wait_for(|&is_received| is_received).await;
     }
 
-    fn signal_first_snapshot(&self) {
-        self.first_snapshot.send_if_modified(|is_received| !std::mem::replace(is_received, true));
+    fn signal_first_response(&self) {
+        self.first_response.send_if_modified(|is_received| !std::mem::replace(is_received, true));
     }
 
     fn apply_point(&self) -> ApplyPoint {
@@ -258,7 +259,7 @@
         // If discovery has moved meanwhile, the version of this list means nothing at the new address.
         let has_not_moved = self.move_count.get() == move_count;
         self.record_applied(if has_not_moved { Some(version) } else { self.version.get() });
-        self.signal_first_snapshot();
+        self.signal_first_response();
     }
 
     /// Applies a list of any length on the event loop's thread. Requests wait meanwhile.
@@ -274,7 +275,7 @@
         self.record_applied(Some(list.version));
         events.send(Event::EndpointsUpdated { kind, entries });
         if kind != EndpointUpdateKind::StaleSnapshot {
-            self.signal_first_snapshot();
+            self.signal_first_response();
         }
     }
 
--- a/src/net/discovery/backoff.rs
+++ b/src/net/discovery/backoff.rs
@@ -1,4 +1,4 @@
-//! Exponential backoff with jitter, for calls to a service that all nodes share.
+//! Exponential backoff with jitter, for calls to discovery.
 
 use std::time::Duration;
 
--- a/src/net/discovery/delta.rs
+++ b/src/net/discovery/delta.rs
@@ -5,7 +5,7 @@
 
 /// Maximum number of entries of a long delta in one notification of the decision engine. A request may wait
 /// for one part each time it yields to the runtime, which limits the length of a part. Each part costs one
-/// pass over the subset, so shorter parts cost more in total.
+/// pass over the decision engine's subset of endpoints, so shorter parts cost more in total.
 pub const ENTRIES_PER_PART: usize = 256;
 
 /// Splits a delta into parts of at most [`ENTRIES_PER_PART`] entries, in their order. The decision engine is
--- a/src/net/discovery/endpoint_id.rs
+++ b/src/net/discovery/endpoint_id.rs
@@ -11,8 +11,8 @@
 /// Derives an endpoint's id from its name alone, so that all nodes agree on the ids and on their order.
 ///
 /// The high 32 bits are the FNV-1a hash of the name, the low 32 bits Jenkins's one-at-a-time hash, which is
-/// unrelated to FNV-1a. With the high half alone, two of 46,000 names would share an id with a probability of
-/// one in four.
+/// unrelated to FNV-1a. With the high half alone, about 0.25 pairs of 46,000 names would be expected to share
+/// an id.
 pub fn endpoint_id(name: &str) -> EndpointId {
     let high = fnv_1a(name.as_bytes());
     let low = one_at_a_time(name.as_bytes());
--- a/src/net/discovery/endpoints.rs
+++ b/src/net/discovery/endpoints.rs
@@ -14,7 +14,8 @@
 /// these only.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Attributes {
-    /// When the endpoint last started, in milliseconds of Unix time; 0 stands for a start long ago.
+    /// When the endpoint last started, in milliseconds of Unix time; 0 if its list entry gives no time, which
+    /// is treated as a start long ago.
     pub started_at_ms: u64,
     /// Its capacity relative to that of other endpoints.
     pub weight: f64,
--- a/src/net/discovery/list_client.rs
+++ b/src/net/discovery/list_client.rs
@@ -13,7 +13,7 @@
 
 use crate::net::discovery::apply::ReceivedList;
 use crate::net::discovery::error::{DiscoveryError, MAX_LIST_BYTES};
-use crate::net::discovery::timeout::{finish_by, WatchTimeout};
+use crate::net::discovery::timeout::{finish_by, CallTimeout};
 use crate::net::http_client::HttpConnection;
 
 /// The head of a response, and the connection on which its body arrives.
@@ -29,7 +29,7 @@
 
 impl ListClient {
     /// Requests a list and returns it when it is complete. Discovery has to begin its response within `wait`;
-    /// while the body keeps arriving, the limits of [`WatchTimeout`] apply.
+    /// while the body keeps arriving, the limits of [`CallTimeout`] apply.
     ///
     /// The call uses `connection` if it is open, or else opens a new one. After a complete response with
     /// status 200 the connection is left in `connection`; otherwise `connection` is `None`.
@@ -42,7 +42,7 @@
         path: &str,
         wait: Duration,
     ) -> Result<ReceivedList, DiscoveryError> {
-        let timeout = WatchTimeout::new(Instant::now(), wait);
+        let timeout = CallTimeout::new(Instant::now(), wait);
         let send = self.send(connection.take(), path);
         let sent = finish_by(timeout.deadline(), send).await.ok_or(DiscoveryError::TimedOut)?;
         let head = sent?;
@@ -78,7 +78,7 @@
 
 /// Reads the body of a response. Returns an error if the body exceeds [`MAX_LIST_BYTES`] or misses its
 /// deadline.
-async fn read_text(mut body: Incoming, timeout: WatchTimeout) -> Result<Vec<u8>, DiscoveryError> {
+async fn read_text(mut body: Incoming, timeout: CallTimeout) -> Result<Vec<u8>, DiscoveryError> {
     let announced_bytes = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
     if announced_bytes > MAX_LIST_BYTES {
         return Err(DiscoveryError::TooLong);
--- a/src/net/discovery/parser.rs
+++ b/src/net/discovery/parser.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns whether the list can be applied. A list without the member `endpoints` cannot be applied, and
-    /// neither can a full list that has entries of which none is readable: each of them, as a full list,
+    /// neither can a full list that has entries of which none is readable. Applied as a full list, either
     /// would remove every endpoint. A delta is applied without its unreadable entries.
     pub fn is_usable(&self) -> bool {
         let Some(entries) = &self.endpoints else { return false };
@@ -79,7 +79,8 @@
     pub state: EndpointState,
     /// Its capacity relative to that of other endpoints; 1 if the entry has none.
     pub weight: f64,
-    /// When the endpoint last started, in milliseconds of Unix time; 0 stands for a start long ago.
+    /// When the endpoint last started, in milliseconds of Unix time; 0 if the entry gives no time, which is
+    /// treated as a start long ago.
     pub started_at_ms: u64,
 }
 
--- a/src/net/discovery/schedule.rs
+++ b/src/net/discovery/schedule.rs
@@ -5,10 +5,12 @@
 use crate::net::discovery::backoff::Backoff;
 use crate::net::discovery::timeout::{FETCH_TIMEOUT, NOTIFIED_AFTER, RETRY_RESPONSE_TIME};
 
-/// Minimum of the initial pause at a shared service.
+/// Minimum of the initial pause at a shared service. [`SPREAD_PER_NODE`] is longer, so the minimum applies
+/// only if the settings give a node count of 0.
 const MIN_SHARED_PAUSE: Duration = Duration::from_millis(20);
-/// The initial pause after a failed call to an agent. A response of the agent costs nothing, and consecutive
-/// calls count as one uninterrupted watch while each of them arrives within 200 ms of the previous response.
+/// The initial pause after a failed call to an agent. It is short because the calls take no capacity from
+/// other nodes, none of which calls this agent, and because calls are treated as one uninterrupted watch
+/// while each of them arrives at the agent within 200 ms of the previous response.
 const AGENT_INITIAL_PAUSE: Duration = Duration::from_millis(20);
 /// The maximum pause after a failed call to an agent, before jitter.
 pub const AGENT_MAX_PAUSE: Duration = Duration::from_millis(160);
@@ -21,8 +23,9 @@
 pub const MAX_PAUSE_FACTOR: u32 = 2;
 /// The longest delay of a first call: it leaves time for the response before [`NOTIFIED_AFTER`].
 const MAX_FIRST_CALL_DELAY: Duration = NOTIFIED_AFTER.saturating_sub(FETCH_TIMEOUT);
-/// The longest pause between calls until discovery has sent its first list. After a move several calls fit
-/// into [`NOTIFIED_AFTER_MOVE`](crate::net::discovery::timeout::NOTIFIED_AFTER_MOVE).
+/// The longest pause between calls after a move, until discovery has sent the first list from its new
+/// address. Several calls fit into
+/// [`NOTIFIED_AFTER_MOVE`](crate::net::discovery::timeout::NOTIFIED_AFTER_MOVE).
 const MAX_PAUSE_BEFORE_FIRST_LIST: Duration = Duration::from_millis(500);
 /// The share of a pause limited by a deadline that is drawn at random.
 const JITTER_SHARE: f64 = 0.2;
@@ -40,9 +43,9 @@
     /// shared service; otherwise each node calls its own agent. The random delays and pauses are drawn with
     /// `seed`.
     ///
-    /// An agent is called without delay, for three reasons: a change that the agent holds and the node has
-    /// missed counts against the node at once, the node may miss a drain during each pause in its watch, and
-    /// no other node calls this agent.
+    /// An agent is called without delay, for three reasons: a change that the agent holds counts as notified
+    /// at once, even if the node has missed it (see [`NOTIFIED_AFTER`]); the node may miss a drain during
+    /// each pause in its watch; and no other node calls this agent.
     pub fn new(seed: u64, node_count: u32, polls_endpoint_list: bool) -> Self {
         if !polls_endpoint_list {
             return WatchSchedule {
@@ -62,15 +65,15 @@
         self.backoff.random_part_of(self.max_first_call_delay)
     }
 
-    /// Returns the pause after a call that failed `call_time` after it began. Retrying in time matters
-    /// however the call ended: a change that discovery has when the call begins counts against the node from
-    /// [`NOTIFIED_AFTER`] after that time on.
+    /// Returns the pause after a call that failed `call_time` after it began. The retry has to be in time
+    /// however the call ended: a change that discovery has when the call begins counts as notified
+    /// [`NOTIFIED_AFTER`] after that time.
     pub fn pause_after_failure(&mut self, call_time: Duration) -> Duration {
         self.limited_pause(NOTIFIED_AFTER.saturating_sub(RETRY_RESPONSE_TIME + call_time))
     }
 
-    /// Returns the pause after a call that failed before discovery has sent its first list, at the start or
-    /// after a move.
+    /// Returns the pause after a call that failed after a move, before discovery has sent the first list from
+    /// its new address.
     pub fn pause_before_first_list(&mut self) -> Duration {
         self.limited_pause(MAX_PAUSE_BEFORE_FIRST_LIST)
     }
@@ -89,6 +92,8 @@
             return pause;
         }
         let jitter = self.backoff.random_part_of(max_pause.mul_f64(JITTER_SHARE));
+        // `max_pause` may be 0, but a failed call must not be repeated in a tight loop. This lower bound also
+        // applies at a shared service.
         (max_pause - jitter).max(AGENT_INITIAL_PAUSE / 2)
     }
 }
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -1,4 +1,5 @@
-//! Keeps a watch of the endpoint list running, and fetches the full list on request.
+//! Watches the endpoint list by calling discovery for as long as the node runs, and fetches the full list on
+//! request.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -23,7 +24,7 @@
 /// The path at which discovery serves the endpoint list.
 const LIST_PATH: &str = "/discovery/hosts";
 /// The pause after a call that returned in less than this time without a change. Without it, a discovery that
-/// responds to watches at once would keep the core busy.
+/// responds to long polls at once would keep the core busy.
 const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The result of one successful call of the watch.
@@ -80,10 +81,10 @@
         }
     }
 
-    /// Waits until discovery has sent its first list or confirmed the known one. Returns at once if it has
-    /// done so since the start.
-    pub async fn wait_for_first_snapshot(&self) {
-        self.applier.wait_for_first_snapshot().await;
+    /// Waits until the first response of discovery is applied, even if it contains no change. Returns at once
+    /// if a response was applied since the start.
+    pub async fn wait_for_first_response(&self) {
+        self.applier.wait_for_first_response().await;
     }
 
     /// Starts one fetch of the full list. If the fetch fails and discovery has not moved meanwhile, the
@@ -97,6 +98,8 @@
                 return;
             }
             discovery.log_failure(&error, "the watch continues");
+            // The decision engine has no kind of update of its own for a failed fetch. The watch itself is
+            // not affected.
             let kind = EndpointUpdateKind::WatchLost;
             events.send(Event::EndpointsUpdated { kind, entries: Vec::new() });
         });
@@ -136,7 +139,7 @@
         let mut is_failing = false;
         loop {
             let began_at = Instant::now();
-            match self.watch_once(&mut connection, events).await {
+            match self.call_once(&mut connection, events).await {
                 Ok(result) => {
                     is_failing = false;
                     self.schedule.borrow_mut().reset();
@@ -167,7 +170,7 @@
 
     /// Makes one call: a long poll for changes since the version applied last, or a request for the full list
     /// if no version is known.
-    async fn watch_once(
+    async fn call_once(
         &self,
         connection: &mut Option<HttpConnection>,
         events: &Rc<dyn EventSink>,
@@ -179,11 +182,11 @@
             }
             None => self.client.call(connection, LIST_PATH, FIRST_CALL_TIMEOUT).await?,
         };
-        self.apply_watched(events, received).await
+        self.apply_response(events, received).await
     }
 
-    /// Applies the list in the response to a watch, if it is new.
-    async fn apply_watched(
+    /// Applies the list in the response to a call of the watch, if it is new.
+    async fn apply_response(
         &self,
         events: &Rc<dyn EventSink>,
         received: ReceivedList,
@@ -205,7 +208,8 @@
                 return Ok(WatchResult::Updated);
             }
         }
-        // The next watch starts from this version, though it contains no change.
+        // The response brought nothing to apply. The next call asks for changes since its version, or since
+        // the known one if that is newer.
         self.applier.record_version(version);
         Ok(WatchResult::Unchanged)
     }
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -50,7 +50,7 @@
     /// Whether a graceful shutdown has begun.
     shutting_down: Cell<bool>,
     /// Whether the shutdown has failed the open requests. New requests fail immediately from then on.
-    requests_closed: Cell<bool>,
+    open_requests_failed: Cell<bool>,
 }
 
 impl EventLoop {
@@ -75,7 +75,7 @@
             pending_events: RefCell::default(),
             handling_events: Cell::new(false),
             shutting_down: Cell::new(false),
-            requests_closed: Cell::new(false),
+            open_requests_failed: Cell::new(false),
         })
     }
 
@@ -85,6 +85,8 @@
     }
 
     /// Records that a graceful shutdown has begun. From then on each response closes its client connection.
+    /// The decision engine is not notified here: [`Event::ShutdownStarted`] follows later, when the listener
+    /// closes.
     pub fn start_shutdown(&self) {
         self.shutting_down.set(true);
     }
@@ -97,7 +99,7 @@
     /// Fails all open requests now and all new requests from now on. Called at the end of a graceful
     /// shutdown.
     pub fn fail_open_requests(&self) {
-        self.requests_closed.set(true);
+        self.open_requests_failed.set(true);
         let ids = self.open_requests.borrow().ids();
         for id in ids {
             let responder = self.open_requests.borrow_mut().take_responder(&id);
@@ -120,7 +122,7 @@
         let (mut open_request, receiver) = OpenRequest::new(forwarded, request.deadline);
         // A request's body may be complete only after the shutdown has failed the open requests. An attempt
         // started then would be lost when the process exits.
-        if self.requests_closed.get() {
+        if self.open_requests_failed.get() {
             open_request.respond(FinalResponse::Failed);
             return Ok(receiver);
         }
@@ -152,7 +154,7 @@
         self.send(Event::ClientDisconnected { request: id.clone() });
         let unsent = self.open_requests.borrow().unsent_attempts(id);
         for attempt_number in unsent {
-            self.end_attempt(id, attempt_number, Outcome::NotSent);
+            self.end_without_response(id, attempt_number, Outcome::NotSent);
         }
     }
 
@@ -172,7 +174,7 @@
             }
             Action::Fail { request } => self.complete(&request, FinalResponse::Failed),
             Action::CancelAttempt { request, attempt_number } => {
-                self.end_attempt(&request, attempt_number as usize, Outcome::Cancelled);
+                self.end_without_response(&request, attempt_number as usize, Outcome::Cancelled);
             }
             Action::ProbeEndpoint { endpoint } => self.probe(endpoint),
             Action::IncrementCounter { key, amount, keep_for } => {
@@ -213,8 +215,8 @@
     }
 
     /// Starts an attempt of a request at an endpoint, which ends after `timeout` microseconds (0 means no
-    /// timeout of its own). If the request is completed, has no attempts left or no time left, the attempt is
-    /// reported as not sent.
+    /// timeout of its own). If an open request is completed or has no attempts or time left, the attempt is
+    /// reported as not sent. If the request is no longer open, the action is logged and dropped.
     fn start_attempt(&self, id: RequestId, endpoint: EndpointId, timeout: Micros) {
         let now = self.clock.now();
         let mut open_requests = self.open_requests.borrow_mut();
@@ -258,20 +260,21 @@
     }
 
     /// Ends an attempt whose endpoint has not responded.
-    fn end_attempt(&self, id: &RequestId, attempt_number: usize, outcome: Outcome) {
-        self.finish_attempt(id, attempt_number, AttemptOutcome { outcome, body: None });
+    fn end_without_response(&self, id: &RequestId, attempt_number: usize, outcome: Outcome) {
+        self.report_attempt_end(id, attempt_number, AttemptOutcome { outcome, body: None });
     }
 
     /// Reports the end of an attempt to the decision engine, and responds to the request if the attempt has
     /// returned a body. Does nothing if the attempt has already ended.
-    fn finish_attempt(&self, id: &RequestId, attempt_number: usize, result: AttemptOutcome) {
+    fn report_attempt_end(&self, id: &RequestId, attempt_number: usize, result: AttemptOutcome) {
         let AttemptOutcome { outcome, body } = result;
         let mut open_requests = self.open_requests.borrow_mut();
         let Some(request) = open_requests.get_mut(id) else { return };
         let Some(attempt) = request.attempts.get_mut(attempt_number) else { return };
         let Some(task) = attempt.task.take() else { return };
         if matches!(outcome, Outcome::Cancelled | Outcome::NotSent) {
-            // This also closes the connection, from which the endpoint learns that the attempt was cancelled.
+            // Aborting the task drops its connection, if it has one. The endpoint learns of the cancellation
+            // from the close.
             task.abort();
         }
         let endpoint = attempt.endpoint;
@@ -304,12 +307,12 @@
         let mut actions = Vec::new();
         loop {
             let Some(event) = self.pending_events.borrow_mut().pop_front() else { break };
-            let ended_request = request_ended_by(&event);
+            let to_settle = request_to_settle(&event);
             self.engine.borrow_mut().handle(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
                 self.perform(action);
             }
-            if let Some(id) = ended_request {
+            if let Some(id) = to_settle {
                 self.open_requests.borrow_mut().remove_if_settled(&id);
             }
         }
@@ -337,13 +340,13 @@
         let attempt =
             upstreams.attempt(clock, self.endpoint, &self.forwarded, self.ends_at, &self.maybe_written);
         let result = attempt.await;
-        event_loop.finish_attempt(&self.request, self.attempt_number, result);
+        event_loop.report_attempt_end(&self.request, self.attempt_number, result);
     }
 }
 
-/// Returns the request that may be removed from the open requests after this event was handled, if there is
-/// one.
-fn request_ended_by(event: &Event) -> Option<RequestId> {
+/// Returns the request that the event may have settled, which means that it is completed and has no attempt
+/// in flight. Returns `None` if the event settles no request.
+fn request_to_settle(event: &Event) -> Option<RequestId> {
     match event {
         Event::AttemptEnded(ended) => Some(ended.request.clone()),
         Event::ClientDisconnected { request } => Some(request.clone()),
--- a/src/net/http_client.rs
+++ b/src/net/http_client.rs
@@ -40,12 +40,12 @@
         self.began_at.get().is_some()
     }
 
-    /// Returns once `response_time` has passed since the response began to arrive. Notices only a response
-    /// that begins after the returned future was first polled.
-    pub async fn wait_until_exceeded(&self, response_time: Duration) {
+    /// Returns once `max_response_time` has passed since the response began to arrive. Notices only a
+    /// response that begins after the returned future was first polled.
+    pub async fn wait_until_overdue(&self, max_response_time: Duration) {
         self.began.notified().await;
         match self.began_at.get() {
-            Some(began_at) => sleep_until(began_at + response_time).await,
+            Some(began_at) => sleep_until(began_at + max_response_time).await,
             None => pending().await,
         }
     }
@@ -119,9 +119,9 @@
     /// The connection broke after some of the request may have been written.
     #[error("the connection broke before the response head arrived")]
     ConnectionBroken,
-    /// The response cannot be read, or its content cannot be trusted. The connection must not be used again.
-    #[error("malformed response")]
-    MalformedResponse,
+    /// The response is malformed, too long or too slow. The connection must not be used again.
+    #[error("malformed, too long or too slow response")]
+    UnusableResponse,
 }
 
 /// An open connection. Dropping it closes the socket, even if a request is in flight.
@@ -167,7 +167,7 @@
     }
 
     /// Resets the tracking of the response start and returns it for the next request.
-    pub fn observe_response_start(&self) -> Rc<ResponseStart> {
+    pub fn reset_response_start(&self) -> Rc<ResponseStart> {
         self.response_start.began_at.set(None);
         self.response_start.clone()
     }
@@ -183,7 +183,7 @@
         let sent = self.sender.try_send_request(request).await;
         sent.map_err(|mut error| match error.take_message() {
             Some(request) => SendError::NotWritten(Box::new(request)),
-            None if error.error().is_parse() => SendError::MalformedResponse,
+            None if error.error().is_parse() => SendError::UnusableResponse,
             None => SendError::ConnectionBroken,
         })
     }
@@ -191,8 +191,10 @@
 
 /// Returns whether the head of a response defines unambiguously where the response ends.
 ///
-/// Without a length a broken connection cannot be distinguished from the end of the body. If the head gives
-/// two lengths, neither can be trusted.
+/// If the head has both a `Content-Length` and a `Transfer-Encoding`, neither can be trusted. If it has
+/// neither, the body ends with the close of the connection, which is accepted only if the head announces it
+/// with `Connection: close`: otherwise a broken connection could not be distinguished from the end of the
+/// body. A 204 needs no length, because it has no body. An informational response with a length is refused.
 pub fn has_unambiguous_length(response: &Response<Incoming>) -> bool {
     let headers = response.headers();
     let status = response.status();
--- a/src/net/open_requests.rs
+++ b/src/net/open_requests.rs
@@ -12,8 +12,8 @@
 use crate::decision::{EndpointId, Micros, RequestId};
 use crate::net::upstream::ForwardedRequest;
 
-/// How long before the request's deadline its attempts are cancelled, in microseconds. The final response
-/// needs this time to reach the client.
+/// How long before the request's deadline its attempts end, in microseconds. The final response needs this
+/// time to reach the client.
 ///
 /// This is more than the event loop's `RESPONSE_MARGIN`, so attempts end first. A request whose endpoint does
 /// not respond is answered with 502 or 503, and only one that still waits for something else, such as the
@@ -68,7 +68,7 @@
     responder: Option<oneshot::Sender<FinalResponse>>,
     /// The request as it is sent to endpoints.
     pub(super) forwarded: Rc<ForwardedRequest>,
-    /// When attempts in flight are cancelled, in microseconds of Unix time.
+    /// When attempts in flight time out, in microseconds of Unix time.
     attempts_end_at: Micros,
     /// The attempts of the request, by attempt number.
     pub(super) attempts: Vec<AttemptRecord>,
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -21,7 +21,7 @@
 
 /// How an attempt ended.
 pub struct AttemptOutcome {
-    /// The outcome, as defined by the protocol's table of outcomes.
+    /// The outcome of the attempt; see [`Outcome`].
     pub outcome: Outcome,
     /// The body of the response; `None` unless the request was served.
     pub body: Option<Bytes>,
@@ -93,7 +93,7 @@
         maybe_written: &Cell<bool>,
     ) -> ConnectionUse {
         let PooledConnection { mut connection, pool, idle_for } = pooled;
-        let response_start = connection.observe_response_start();
+        let response_start = connection.reset_response_start();
         maybe_written.set(true);
         let result = tokio::select! {
             biased;
@@ -102,7 +102,7 @@
                 // The request may have run, since it is not known here whether its last byte was sent.
                 Err(_) => return ConnectionUse::Ended(AttemptOutcome::without_body(Outcome::TimedOut)),
             },
-            () = response_start.wait_until_exceeded(MAX_RESPONSE_TIME) => Err(SendError::MalformedResponse),
+            () = response_start.wait_until_overdue(MAX_RESPONSE_TIME) => Err(SendError::UnusableResponse),
         };
         if !matches!(result, Err(SendError::NotWritten(_))) {
             let broke_before_response =
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -1,5 +1,4 @@
-//! Sends a request on a connection to an endpoint, reads the response and derives the outcome that the
-//! protocol defines for it.
+//! Sends a request on a connection to an endpoint, reads the response and derives the [`Outcome`] from it.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -36,7 +35,7 @@
 ) -> Result<Exchange, SendError> {
     let response = connection.send(message).await?;
     if !has_unambiguous_length(&response) {
-        return Err(SendError::MalformedResponse);
+        return Err(SendError::UnusableResponse);
     }
     let status = response.status();
     let is_rejection = status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::GATEWAY_TIMEOUT;
@@ -48,7 +47,7 @@
     }
     match body {
         Err(BodyError::ConnectionBroken) => Ok(Exchange::without_body(Outcome::Reset, false)),
-        Err(BodyError::TooLong | BodyError::Malformed) => Err(SendError::MalformedResponse),
+        Err(BodyError::TooLong | BodyError::Malformed) => Err(SendError::UnusableResponse),
         Ok(body) if status == StatusCode::OK => {
             Ok(Exchange { outcome: Outcome::Ok, body: Some(body), is_reusable: true })
         }
@@ -61,8 +60,8 @@
     match error {
         SendError::NotWritten(_) => Outcome::ConnectFailed,
         SendError::ConnectionBroken => Outcome::Reset,
-        // Any endpoint may send a malformed response. The endpoint is alive and no worse than others, so it
+        // Any endpoint may send an unusable response. The endpoint is alive and no worse than others, so it
         // must not be ejected, which would make it unavailable to all requests.
-        SendError::MalformedResponse => Outcome::Error,
+        SendError::UnusableResponse => Outcome::Error,
     }
 }
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -22,7 +22,7 @@
 /// The serialized form of [`Settings`], together with settings that only other modules use.
 #[derive(Deserialize)]
 pub struct SettingsDocument {
-    /// Number of nodes in the fleet.
+    /// Number of nodes in the fleet. The validation of requests treats 0 as 1.
     #[serde(rename = "n_instances")]
     pub node_count: u32,
     #[serde(rename = "me")]
@@ -83,7 +83,7 @@
     counter_timeout: Micros,
     #[serde(rename = "cost_after")]
     units_settled_after: bool,
-    /// Maximum units that one request counts; 0 if the settings name no maximum.
+    /// Maximum number of units of one request; there is no maximum if this is 0 or less.
     #[serde(rename = "largest")]
     pub max_request_units: f64,
 }
--- a/tests/backoff.rs
+++ b/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! Tests of the pauses between calls to a service that all nodes share.
+//! Tests of the pauses between calls to discovery.
 
 use std::time::Duration;
 
--- a/tests/list_notification_deadline.rs
+++ b/tests/list_notification_deadline.rs
@@ -1,6 +1,7 @@
-//! Tests that a node receives each change of the endpoint list before it counts as notified: however a call
-//! to discovery ends, the next call starts in time to bring the change. The tests send the responses
-//! themselves, in place of an agent that holds the list and of one discovery service that all nodes share.
+//! Tests that a node receives each change of the endpoint list before the change counts as notified (see
+//! [`NOTIFIED_AFTER`]): however a call to discovery ends, the next call starts in time to bring the change.
+//! The tests send the responses themselves, in place of an agent that holds the list and of one discovery
+//! service that all nodes share.
 
 mod fakes;
 
--- a/tests/node_counter_calls.rs
+++ b/tests/node_counter_calls.rs
@@ -118,7 +118,8 @@
     for (malformed, counter_timeout) in [
         ("$3\r\nabc\r\n", LONG_TIMEOUT),
         ("noise without an end", LONG_TIMEOUT),
-        // If a reply stays incomplete for half the timeout, the node closes the connection.
+        // If no further byte of an incomplete reply arrives for half the timeout, the node closes the
+        // connection.
         ("$5\r\n1", incomplete_reply_timeout),
     ] {
         let mut node = NodeWithCounter::start(counter_timeout);
--- a/tests/watch_schedule.rs
+++ b/tests/watch_schedule.rs
@@ -4,12 +4,12 @@
 
 use edge_node::net::discovery::schedule::{WatchSchedule, AGENT_MAX_PAUSE, MAX_PAUSE_FACTOR};
 use edge_node::net::discovery::timeout::{
-    WatchTimeout, FETCH_TIMEOUT, FIRST_CALL_TIMEOUT, MAX_RESPONSE_PAUSE, MAX_TIMEOUT_EXTENSION,
+    CallTimeout, FETCH_TIMEOUT, FIRST_CALL_TIMEOUT, MAX_RESPONSE_PAUSE, MAX_TIMEOUT_EXTENSION,
     NOTIFIED_AFTER, RETRY_RESPONSE_TIME, WATCH_TIMEOUT,
 };
 use tokio::time::Instant;
 
-/// The time after a move of discovery at which a node counts as notified of the list at the new address.
+/// The time after a move of discovery at which the list at the new address counts as notified.
 const NOTIFIED_AFTER_MOVE: Duration = Duration::from_secs(4);
 
 /// Returns the number of calls in each second of a minute, in a fleet whose calls all fail after 2 s, as they
@@ -83,7 +83,7 @@
 fn timeout_is_extended_while_a_list_arrives_and_not_for_a_silent_agent() {
     let began_at = Instant::now();
     for wait in [FIRST_CALL_TIMEOUT, FETCH_TIMEOUT] {
-        let timeout = WatchTimeout::new(began_at, wait);
+        let timeout = CallTimeout::new(began_at, wait);
         let deadline = began_at + wait;
         assert_eq!(
             timeout.deadline(),
@@ -110,7 +110,7 @@
 #[test]
 fn watch_with_a_slow_response_leaves_time_for_the_next_call() {
     let began_at = Instant::now();
-    let timeout = WatchTimeout::new(began_at, WATCH_TIMEOUT);
+    let timeout = CallTimeout::new(began_at, WATCH_TIMEOUT);
     let latest = timeout.deadline_after_bytes(began_at + NOTIFIED_AFTER);
     assert!(latest > began_at + WATCH_TIMEOUT);
     assert!(latest + RETRY_RESPONSE_TIME <= began_at + NOTIFIED_AFTER);
