--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -24,20 +24,23 @@
 
 /// Returns a client whose request is in progress at the node.
 ///
-/// Two clients send the request under the same id, and the node rejects the one that it reads second. The
-/// rejection shows that the other one is in progress. The order in which the node reads them is not
+/// Two clients send the request under the same id, and the node refuses the one that it reads second with
+/// 409. This shows that the other one is in progress. The order in which the node reads them is not
 /// determined.
 fn client_in_progress(edge: &EdgeProcess, request: &RequestSpec) -> Client {
-    let mut rejected = edge.connect();
+    let mut refused = edge.connect();
     let mut accepted = edge.connect();
-    rejected.send(request);
+    refused.send(request);
     accepted.send(request);
     let until = Instant::now() + TEST_TIMEOUT;
-    while !rejected.has_response() {
-        assert!(Instant::now() < until, "neither of two requests with the same id was rejected in time");
-        swap(&mut rejected, &mut accepted);
+    while !refused.has_response() {
+        assert!(
+            Instant::now() < until,
+            "neither of two requests with the same id was refused with 409 in time"
+        );
+        swap(&mut refused, &mut accepted);
     }
-    assert_eq!(rejected.response().status(), 409);
+    assert_eq!(refused.response().status(), 409);
     accepted
 }
 
@@ -48,8 +51,8 @@
     assert_eq!(client.read_to_end(), "");
 }
 
-/// Sends a request under the id of a request whose client has disconnected. The request is rejected if the id
-/// is still in use.
+/// Sends a request under the id of a request whose client has disconnected. The request is refused with 409
+/// if the id is still in use.
 fn send_again(edge: &EdgeProcess, request: &RequestSpec) -> Client {
     let mut client = edge.connect();
     client.send(request);
@@ -169,7 +172,7 @@
     assert_eq!(
         second.response().status(),
         409,
-        "expected a rejection because the first client's request with the same id is in progress"
+        "expected a refusal because the first client's request with the same id is in progress"
     );
     disconnect(first);
     // The first client's descriptor is released, and the second request's attempt, which was queued after the
@@ -263,15 +266,17 @@
 
 impl FullBacklogEndpoint {
     fn new() -> FullBacklogEndpoint {
-        let socket = TcpSocket::new_v4().expect("a TCP socket is created");
-        socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a loopback port is bound");
-        let runtime =
-            tokio::runtime::Builder::new_current_thread().enable_io().build().expect("a runtime is built");
+        let socket = TcpSocket::new_v4().expect("the TCP socket should be created");
+        socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a loopback port should be bound");
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_io()
+            .build()
+            .expect("the runtime should start");
         let listener = runtime
             .block_on(async { socket.listen(0).and_then(|listener| listener.into_std()) })
-            .expect("the socket listens");
-        listener.set_nonblocking(false).expect("the listener is set to blocking mode");
-        let address = listener.local_addr().expect("the listener has a local address");
+            .expect("the socket should listen");
+        listener.set_nonblocking(false).expect("the listener should be set to blocking mode");
+        let address = listener.local_addr().expect("the listener should have a local address");
         let mut backlog_connections = Vec::new();
         let connect_timeout = Duration::from_millis(300);
         while let Ok(stream) = TcpStream::connect_timeout(&address, connect_timeout) {
--- a/tests/closing_connections.rs
+++ b/tests/closing_connections.rs
@@ -34,7 +34,7 @@
 impl Server {
     async fn start() -> Server {
         let document: SettingsDocument =
-            serde_json::from_value(node_settings()).expect("the test settings are valid");
+            serde_json::from_value(node_settings()).expect("the test settings should be valid");
         let rules = RequestRules::new(&document);
         let settings = Settings::from(document);
         let budget = DescriptorBudget::new(64);
@@ -46,8 +46,8 @@
         let event_loop =
             EventLoop::new(DecisionEngine::new(1, settings), 4, upstreams, counter, discovery.clone());
         let downstream = DownstreamServer::new(event_loop, rules, budget);
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a loopback port is bound");
-        let address = listener.local_addr().expect("the listener has a local address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a loopback port should be bound");
+        let address = listener.local_addr().expect("the listener should have a local address");
         spawn_local(downstream.clone().accept(listener, async {}));
         Server { downstream, address }
     }
@@ -57,10 +57,10 @@
         let address = self.address;
         let mut client = spawn_blocking(move || Client::connect(address))
             .await
-            .expect("the connecting thread does not panic");
+            .expect("the connecting thread should not panic");
         client.send_raw(READINESS_CHECK);
         let (client, response) = response_of(client).await;
-        assert_eq!(response.expect("the readiness check is answered").status(), 200);
+        assert_eq!(response.expect("the readiness check should be answered").status(), 200);
         client
     }
 }
@@ -72,12 +72,13 @@
         let response = client.response_or_end();
         (client, response)
     });
-    waiting.await.expect("the thread that waits for the response does not panic")
+    waiting.await.expect("the thread that waits for the response should not panic")
 }
 
 fn run(test: impl Future<Output = ()>) {
     let mut builder = Builder::new_current_thread();
-    let runtime = builder.enable_all().build_local(LocalOptions::default()).expect("a runtime is built");
+    let runtime =
+        builder.enable_all().build_local(LocalOptions::default()).expect("the runtime should start");
     runtime.block_on(test);
 }
 
--- a/tests/fakes/discovery.rs
+++ b/tests/fakes/discovery.rs
@@ -13,8 +13,8 @@
 use super::http::{ok_response, read_message, HttpMessage};
 use super::TEST_TIMEOUT;
 
-/// Time after which a watch is answered if the endpoint list has not changed.
-const WATCH_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long the service holds a watch before it answers it without a change.
+const WATCH_HOLD_TIME: Duration = Duration::from_secs(5);
 
 /// A change of one entry of the endpoint list, and the version that it results in.
 struct Change {
@@ -168,8 +168,8 @@
     Some(json!({"index": list.version, "snapshot": true, "endpoints": entries}).to_string())
 }
 
-/// Waits for a change after `version`, at most for [`WATCH_TIMEOUT`], and returns the body of the response to
-/// the watch. Returns `None` if watches are not answered.
+/// Waits for a change after `version`, at most for [`WATCH_HOLD_TIME`], and returns the body of the response
+/// to the watch. Returns `None` if watches are not answered.
 fn watch_response(state: &SharedState, version: u64) -> Option<String> {
     let mut list = state.list.lock().expect("the lock is poisoned");
     list.watched_versions.push(version);
@@ -177,7 +177,7 @@
     if list.silent {
         return None;
     }
-    let waited = state.changed.wait_timeout_while(list, WATCH_TIMEOUT, |list| list.version <= version);
+    let waited = state.changed.wait_timeout_while(list, WATCH_HOLD_TIME, |list| list.version <= version);
     let (list, _) = waited.expect("the lock is poisoned");
     let newer = list.changes.iter().filter(|change| change.version > version);
     let entries: Vec<&Value> = newer.map(|change| &change.entry).collect();
--- a/tests/fakes/endpoint.rs
+++ b/tests/fakes/endpoint.rs
@@ -90,7 +90,8 @@
 /// A clone of each accepted connection of an endpoint, through which the endpoint closes the connection.
 type Connections = Arc<Mutex<Vec<TcpStream>>>;
 
-/// The client's address of the connection at which an endpoint stops accepting; `None` until it is to stop.
+/// The peer address of the connection that tells the endpoint to stop accepting; `None` until `end_listener`
+/// is called.
 type LastConnection = Arc<Mutex<Option<SocketAddr>>>;
 
 /// A fake endpoint.
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -26,7 +26,8 @@
         client.send(&request("post", "p-1"));
         let _in_flight = endpoint.next_request();
         edge.terminate();
-        let response = client.response_or_end().expect("the request is answered before the process ends");
+        let response =
+            client.response_or_end().expect("the request should be answered before the process ends");
         assert_eq!(response.status(), 502, "timeouts of {micros} us");
         assert!(edge.wait_for_exit().status.success());
     }
@@ -97,8 +98,9 @@
         received.respond_ok(&body);
     }
     for (mut client, id) in [(reused, "p-kept"), (new, "p-new")] {
-        let response =
-            client.response_or_end().expect("the partial request is served before its connection closes");
+        let response = client
+            .response_or_end()
+            .expect("the partial request should be served before its connection closes");
         assert_eq!(response.body, id.as_bytes());
         assert_eq!(response.header("connection"), Some("close"));
     }
--- a/tests/node_endpoint_list.rs
+++ b/tests/node_endpoint_list.rs
@@ -106,7 +106,7 @@
     discovery.publish(endpoint_entry("s-2", other_zone.address, "b", "up"));
     discovery.publish(active("s-3", same_zone.address));
     discovery.publish(endpoint_entry("s-1", removed.address, "a", "removed"));
-    // After this response the request counts as possibly executed.
+    // After this response the node has to assume that the request may have run.
     received.respond("500 Internal Server Error", "", "");
     same_zone.next_request().respond_ok("once");
     client.assert_ok("once");
--- a/tests/node_forwarding.rs
+++ b/tests/node_forwarding.rs
@@ -76,7 +76,8 @@
     let OneEndpoint { endpoint, edge, mut client } = one_endpoint();
     client.send(&request("post", "p-1"));
     let received = endpoint.next_request();
-    // A second request with the same id is refused while the first one is open, since it would run twice.
+    // A second request with the same id is refused with 409 while the first one is open, since it would run
+    // twice.
     let mut other_client = edge.connect();
     other_client.send(&request("post", "p-1"));
     assert_failed(&other_client.response());
@@ -96,9 +97,9 @@
     other_client.assert_ok("second");
 }
 
-/// Waits for the request to arrive at the endpoint and returns it. Returns `None` if the client gets the
-/// response that the id is in use. The function waits for one of the two, since a request may take any time
-/// to arrive on a busy machine.
+/// Waits for the request to arrive at the endpoint and returns it. Returns `None` if the request is refused
+/// with 409 because the id is in use. The function waits for one of the two, since a request may take any
+/// time to arrive on a busy machine.
 fn request_or_conflict(endpoint: &FakeEndpoint, client: &mut Client) -> Option<ReceivedRequest> {
     let until = Instant::now() + TEST_TIMEOUT;
     while !client.has_response() {
--- a/tests/node_retries.rs
+++ b/tests/node_retries.rs
@@ -127,7 +127,7 @@
     client.send(&request("post", "p-1"));
     endpoint.next_request().close();
     assert_failed(&client.response());
-    // Without another endpoint it gets the request even if it is still suspected to have failed.
+    // The only endpoint gets the request even if the node still suspects it of having failed.
     sleep(FIRST_EJECTION_WAIT);
     assert_served_by(&endpoint, &mut client, &request("post", "p-2"));
 }
