--- a/src/decision/action.rs
+++ b/src/decision/action.rs
@@ -14,7 +14,7 @@
         /// Time limit of the attempt; 0 means until the request's deadline.
         timeout: Micros,
     },
-    /// Sends the final response that the request is rejected. A retry by the client is harmless.
+    /// Sends the final response that the request is rejected. A client retry is harmless.
     Reject {
         /// The rejected request.
         request: RequestId,
@@ -33,7 +33,7 @@
         /// The number of the attempt within its request, from 0.
         attempt_number: u32,
     },
-    /// Probes an endpoint.
+    /// Probes an endpoint. The decisions never return this action.
     ProbeEndpoint {
         /// The endpoint to probe.
         endpoint: EndpointId,
--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -11,8 +11,8 @@
     AccountId, Action, DecisionEngine, Micros, NewRequest, Plan, RequestId, Settings, TICK_INTERVAL,
 };
 
-/// A retry that cannot meet its latency objective is still served if late responses of its class earn at
-/// least this share of the weight.
+/// A client retry that cannot meet its latency objective is still served if late responses of its class earn
+/// at least this share of the weight.
 const MIN_LATE_WEIGHT: f64 = 0.5;
 /// Maximum wait of a request for the counter, in multiples of the counter's timeout: one for a call, one for
 /// its reread, and one more.
@@ -31,8 +31,8 @@
     },
 }
 
-/// How long clients wait for one request, in microseconds by class. The latest request that is not a retry
-/// determines the value.
+/// How long clients wait for one request, in microseconds by class. The latest request that is not a client
+/// retry determines the value.
 #[derive(Default)]
 pub(super) struct ClientTimeouts {
     by_class: BTreeMap<usize, Micros>,
@@ -58,12 +58,14 @@
     /// Decides on a new request. The first rule that applies decides:
     ///
     /// 1. If its class is unknown or its id is that of a pending request, it is ignored.
-    /// 2. If the fleet is too loaded for it, it is shed, with a `Retry-After` time unless it is a retry.
-    /// 3. If it arrives too late to earn its weight or to get a response at all, it is rejected.
+    /// 2. If the fleet is too loaded for it, it is shed, with a `Retry-After` time unless it is a client
+    ///    retry.
+    /// 3. If it is a client retry that would earn too little of its weight, or if no response can arrive in
+    ///    time, it is rejected without a `Retry-After` time.
     /// 4. If the quotas grant it, it is sent to an endpoint.
     /// 5. If the quotas need a reply of the counter, it waits.
     /// 6. Otherwise it is over quota: it is served if that earns more than it costs and the fleet has room
-    ///    for it, else it is deferred.
+    ///    for it, else it is rejected, with a `Retry-After` time if the deferral schedule has room.
     pub(super) fn on_request(&mut self, mut request: NewRequest, actions: &mut Vec<Action>) {
         if request.class >= self.settings.classes.len() || self.pending.contains(&request.id) {
             return;
@@ -140,8 +142,8 @@
         overdue.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Decides by the load of the fleet whether to shed a request. A retry is shed without a `Retry-After`
-    /// time.
+    /// Decides by the load of the fleet whether to shed a request. A client retry is shed without a
+    /// `Retry-After` time.
     fn decide_by_load(&self, request: &NewRequest) -> LoadDecision {
         let time_until_admission =
             self.load_shedder.time_until_admission(&self.settings, &self.balancer, request, self.now);
@@ -154,12 +156,13 @@
         }
     }
 
-    /// Returns whether a retry can no longer earn its weight: the time that has passed since the client's
-    /// first request leaves too little of the latency objective.
+    /// Returns whether a client retry would earn too little of its weight: the time that has passed since the
+    /// client's first request leaves too little of the latency objective of its class, and a late response
+    /// earns less than [`MIN_LATE_WEIGHT`] of the weight.
     ///
     /// The time that has passed is computed from the deadline, as the class's total timeout minus the time
-    /// that remains. If the client gives each retry as much time as a first request, it cannot be computed,
-    /// and this rule does not apply to the retry.
+    /// that remains. If the client gives each client retry as much time as a first request, it cannot be
+    /// computed, and this rule does not apply to the client retry.
     fn cannot_meet_objective(&self, request: &NewRequest) -> bool {
         let class = &self.settings.classes[request.class];
         let remaining = request.deadline.saturating_sub(self.now);
@@ -175,8 +178,8 @@
         self.now + TICK_INTERVAL + self.balancer.fleet_mean_latency() as Micros / 4 > request.deadline
     }
 
-    /// Applies the quotas to a request: first the quota of attempts in flight, then the quota of units. A
-    /// request without a known plan, or with a plan without a quota of units, is granted without a draw.
+    /// Applies the quotas to a request: first the concurrency quota, then the quota of units. A request
+    /// without a known plan, or with a plan without a quota of units, is granted without a draw.
     fn decide_by_quota(
         &mut self,
         id: &RequestId,
@@ -207,24 +210,26 @@
     }
 
     /// Serves a request over quota if it earns more than it costs and the fleet has room for it. Otherwise
-    /// defers it.
+    /// rejects it.
     fn handle_over_quota(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.get(id) else { return };
         let Some(plan) = self.settings.plans.get(pending.request.plan) else { return };
         let class = &self.settings.classes[pending.request.class];
         let expected_response_time =
             self.load_shedder.expected_response_time(&self.settings, &self.balancer, self.now);
+        // Load shedding uses the shortest latency objective of all classes; here the request's own class sets
+        // the limit.
         let has_room = expected_response_time < class.latency_objective as f64 * MIN_SHED_THRESHOLD;
         if has_room && is_profitable_over_quota(plan) {
             self.dispatch_admitted(id, actions);
         } else {
-            self.defer(id, actions);
+            self.reject_over_quota(id, actions);
         }
     }
 
     /// Rejects a request over quota, with a `Retry-After` time if the deferral schedule has room for one. A
-    /// retry is rejected without a `Retry-After` time.
-    fn defer(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
+    /// client retry is rejected without a `Retry-After` time.
+    fn reject_over_quota(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.pending.get(id).map(|pending| &pending.request) else { return };
         let Some(terms) = self.deferral_terms(request) else { return };
         let is_deferrable = self.settings.limits.retry_after_allowed && !request.is_retry;
--- a/src/decision/attempts/completion.rs
+++ b/src/decision/attempts/completion.rs
@@ -1,5 +1,4 @@
-//! The end of an attempt: what is recorded, and whether the request is finished, sent again, rejected or
-//! failed.
+//! The end of an attempt: what is recorded, and whether the request is finished, retried, rejected or failed.
 
 use super::pending_request::Attempt;
 use crate::decision::balancer::{EndedAttemptSample, Selection};
@@ -7,7 +6,7 @@
 
 impl DecisionEngine {
     /// Handles the end of an attempt. It is recorded for the request, then for the account, the balancer and
-    /// the load shedder, in this order. Then the request is finished, sent again, rejected or failed.
+    /// the load shedder, in this order. Then the request is finished, retried, rejected or failed.
     ///
     /// An event about an attempt that is not in flight is ignored.
     pub(in crate::decision) fn on_attempt_ended(&mut self, end: &EndedAttempt, actions: &mut Vec<Action>) {
@@ -30,11 +29,11 @@
         }
     }
 
-    /// Selects an endpoint for another attempt. The endpoint of the failed attempt is selected only if there
-    /// is no other. Returns `None` if the request may not be sent again or no endpoint can take it.
+    /// Selects an endpoint for a retry. The endpoint of the failed attempt is selected only if there is no
+    /// other. Returns `None` if the request may not be retried or no endpoint can take it.
     ///
-    /// An attempt that was not sent is not repeated, since the node itself could not send it or was not
-    /// allowed to.
+    /// A request whose attempt was not sent is not retried, since the node itself could not send it or was
+    /// not allowed to.
     fn select_for_retry(&mut self, end: &EndedAttempt, failed: EndpointId) -> Option<Selection> {
         let pending = self.pending.get(&end.request)?;
         if end.outcome == Outcome::NotSent || !self.retry_policy().allows_retry(pending) {
--- a/src/decision/attempts/final_response.rs
+++ b/src/decision/attempts/final_response.rs
@@ -9,8 +9,7 @@
 const NO_RETRY_AFTER: Micros = 0;
 
 impl DecisionEngine {
-    /// Ends a request that cannot be served: rejects it if a retry by the client is harmless, otherwise fails
-    /// it.
+    /// Ends a request that cannot be served: rejects it if a client retry is harmless, otherwise fails it.
     pub(in crate::decision) fn reject_or_fail(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.get(id) else { return };
         let class = &self.settings.classes[pending.request.class];
@@ -47,7 +46,7 @@
         pending.needs_no_response = true;
         let is_in_flight = pending.in_flight.is_some();
         if pending.attempts == 0 {
-            self.return_unused(id);
+            self.withdraw_unsent_request(id);
         }
         if !is_in_flight {
             self.pending.remove(id);
@@ -56,20 +55,20 @@
 
     /// Returns the units of a request that never ran to its account, and removes the request from those that
     /// wait for the counter or for an endpoint.
-    fn return_unused(&mut self, id: &RequestId) {
+    fn withdraw_unsent_request(&mut self, id: &RequestId) {
         let Some(pending) = self.pending.get(id) else { return };
-        self.quota.return_unused(pending.request.account, id, pending.drawn_units);
-        // This is needed even if the account's state was dropped: a request that waits for an endpoint does
-        // not keep its account.
+        self.quota.withdraw_request(pending.request.account, id, pending.drawn_units);
+        // The request is removed from the wait even if the account's state was dropped: a request that waits
+        // for an endpoint does not keep its account.
         self.pending.stop_waiting_for_endpoint(id);
     }
 }
 
-/// Returns whether the request can't take effect twice if the client sends it again: it never ran, it is
-/// safe, or all endpoints drop its repeats for as long as the client may send them.
+/// Returns whether the request can't take effect twice in a client retry: it never ran, it is safe, or all
+/// endpoints drop its repeats for as long as the client may send them.
 ///
 /// The rule for the node's own retries is `RetryPolicy::is_safe_to_repeat`. The rules differ for keyed
-/// requests: the node sends its retry within the deduplication scope and knows when it does so. A client's
+/// requests: the node sends its retry to the same deduplication group and before the window ends. A client
 /// retry may reach any endpoint at any time until the client stops waiting.
 fn is_client_retry_harmless(pending: &PendingRequest, class: &RequestClass) -> bool {
     let Some(possible_run) = pending.first_possible_run else { return true };
--- a/src/decision/attempts/mod.rs
+++ b/src/decision/attempts/mod.rs
@@ -1,6 +1,6 @@
 //! Attempts: how a request is sent to an endpoint.
 //!
-//! `retry_policy` decides whether a request may be sent again. `completion` handles the end of an attempt.
+//! `retry_policy` decides whether a request may be retried. `completion` handles the end of an attempt.
 //! `final_response` chooses the response to a client whose request is not served.
 
 mod completion;
@@ -39,7 +39,7 @@
     }
 
     /// Cancels the attempts that have been in flight for longer than the latency bound, at endpoints that are
-    /// ejected or unresponsive, if the requests may be sent again. Ejects these endpoints. The end of a
+    /// ejected or unresponsive, if the requests may be retried. Ejects these endpoints. The end of a
     /// cancelled attempt leads to the next attempt of its request.
     pub(super) fn cancel_stuck_attempts(&mut self, actions: &mut Vec<Action>) {
         for stuck in self.find_stuck_attempts() {
--- a/src/decision/attempts/pending_request.rs
+++ b/src/decision/attempts/pending_request.rs
@@ -9,8 +9,8 @@
 #[derive(Clone, Copy)]
 pub(in crate::decision) struct Attempt {
     pub endpoint: EndpointId,
-    /// Zone and cell of the endpoint. A repeat may have to stay within them even if the endpoint is no longer
-    /// known.
+    /// Zone and cell of the endpoint. A retry may have to stay within one of them even if the endpoint is no
+    /// longer known.
     pub placement: Placement,
     pub sent_at: Micros,
 }
--- a/src/decision/attempts/retry_policy.rs
+++ b/src/decision/attempts/retry_policy.rs
@@ -1,15 +1,16 @@
-//! Retries: whether a request may get another attempt after one that failed or is stuck.
+//! Retries by this node: whether a request may get another attempt after one that failed or is stuck.
 //!
 //! This depends on the idempotency of the request's class:
 //!
-//! - A safe request may be sent again.
-//! - A keyed request may be sent again if none of its attempts may have run, or within the deduplication
-//!   window of the first attempt that may have run.
-//! - A non-idempotent request (`POST` without a key) may be sent again only if none of its attempts may have
+//! - A safe request may be retried.
+//! - A keyed request may be retried if none of its attempts may have run, or within the deduplication window
+//!   of the first attempt that may have run.
+//! - A non-idempotent request (`POST` without a key) may be retried only if none of its attempts may have
 //!   run.
 //!
 //! `Outcome::may_have_run` tells which attempts may have run. In each case the request must have an attempt
-//! left and time for a response, and the budget must have a retry left.
+//! left and time for a response, and the budget must have a retry left. Its client must still wait for the
+//! response, and no part of a response may have been sent to it.
 
 use super::pending_request::PendingRequest;
 use crate::decision::{Idempotency, Micros, RequestClass, Settings};
@@ -47,7 +48,7 @@
     }
 }
 
-/// Decides whether a request may be sent again at the time `now`.
+/// Decides whether a request may be retried at the time `now`.
 pub(super) struct RetryPolicy<'a> {
     pub settings: &'a Settings,
     pub budget: &'a RetryBudget,
@@ -57,7 +58,7 @@
 }
 
 impl RetryPolicy<'_> {
-    /// Returns whether the request may be sent again. An attempt still in flight counts as one that may have
+    /// Returns whether the request may be retried. An attempt still in flight counts as one that may have
     /// run.
     pub fn allows_retry(&self, pending: &PendingRequest) -> bool {
         let class = &self.settings.classes[pending.request.class];
@@ -75,8 +76,8 @@
         self.now + self.fleet_mean_latency as Micros / 2 < pending.request.deadline
     }
 
-    /// Returns whether the request can't take effect twice if this node sends it again. The rule for retries
-    /// by clients is `is_client_retry_harmless`, whose documentation says why the rules differ.
+    /// Returns whether the request can't take effect twice if this node retries it. The rule for client
+    /// retries is `is_client_retry_harmless`, whose documentation says why the rules differ.
     fn is_safe_to_repeat(&self, pending: &PendingRequest, class: &RequestClass) -> bool {
         let Some(possible_run) = pending.first_possible_run.or(pending.in_flight) else {
             return true;
--- a/src/decision/balancer/cost.rs
+++ b/src/decision/balancer/cost.rs
@@ -10,7 +10,7 @@
 /// How fast the node's own load counts outweigh exploration: the weight of exploration is
 /// 1 / (1 + `EXPLORATION_DECAY` * n) with n attempts in flight per active endpoint.
 const EXPLORATION_DECAY: f64 = 60.0;
-/// What a failure risk of 1 adds to the square root of the failure factor.
+/// The failure factor of the cost is (1 + `FAILURE_COST` * risk)^2, with the risk of failure from 0 to 1.
 const FAILURE_COST: f64 = 10.0;
 /// Failures affect the cost only if the share of at least one kind over the fleet is above this value.
 const NEGLIGIBLE_FAILURE_SHARE: f64 = 0.01;
@@ -109,6 +109,10 @@
     }
 
     /// Returns the factor on the cost for crossing zones; 1 in the node's own zone.
+    ///
+    /// With a greater factor than 2 on `cross_zone_cost`, fewer attempts cross zones, and endpoints of the
+    /// own zone get more load before others are preferred. With a smaller one, the load is spread more evenly
+    /// over the zones, and more attempts cross them.
     fn distance_factor(&self, endpoint: &EndpointBalancingState) -> f64 {
         if endpoint.entry.zone == self.settings.zone {
             1.0
--- a/src/decision/balancer/deduplication_group.rs
+++ b/src/decision/balancer/deduplication_group.rs
@@ -1,4 +1,6 @@
-//! The groups of endpoints that drop repeats of keyed requests which ran at another endpoint of the group.
+//! Deduplication groups. The deduplication scope of a class is a kind of group: all endpoints, a zone or a
+//! cell. A group is one zone or one cell, whose endpoints drop repeats of keyed requests that ran at another
+//! endpoint of the group. With the scope of all endpoints, attempts are bound to no group.
 
 use super::Placement;
 use crate::decision::{DeduplicationScope, EndpointEntry, Idempotency, RequestClass};
--- a/src/decision/balancer/endpoint.rs
+++ b/src/decision/balancer/endpoint.rs
@@ -21,17 +21,19 @@
     pub in_flight: VecDeque<Micros>,
     /// Mean response time in microseconds.
     pub latency: f64,
-    /// Rate at which requests leave the endpoint.
+    /// Rate of successes and of connection resets that did not eject the endpoint.
     pub completions: DecayingRate,
     /// Shares of the attempts at the endpoint that failed.
     pub(super) failures: FailureShares,
-    /// When the endpoint last sent a response; before the first one, when it became known.
+    /// When the endpoint last sent a success or an error response (a rejection does not count); before the
+    /// first one, when it became known.
     pub last_response_at: Micros,
     /// The latest time at which an attempt was sent that succeeded; 0 before the first success.
     pub last_success_sent_at: Micros,
     /// Number of ejections since the last success or restart.
     pub consecutive_ejections: u32,
-    /// Number of connections that were reset during a request since the last response or restart.
+    /// Number of connections that were reset during a request since the last success, error response,
+    /// rejection or restart.
     pub connection_resets: u32,
     /// When the latest ejection ends; 0 if there was none since the last restart.
     pub ejected_until: Micros,
@@ -70,12 +72,13 @@
         self.entry.state == EndpointState::Active
     }
 
-    /// Returns the rate at which requests leave the endpoint, in requests per second.
+    /// Returns the rate of successes and of connection resets that did not eject the endpoint, in requests
+    /// per second.
     pub fn completion_rate(&self, now: Micros) -> f64 {
         self.completions.per_second(now, COMPLETION_TIME_CONSTANT)
     }
 
-    /// Records that a request left the endpoint, with or without a response.
+    /// Records a success or a connection reset that did not eject the endpoint.
     pub fn record_completion(&mut self, now: Micros) {
         self.completions.record(now, 1.0, COMPLETION_TIME_CONSTANT);
     }
@@ -91,9 +94,9 @@
     }
 
     /// Returns when the attempts in flight were sent, the earliest first, without those sent before the end
-    /// of the latest ejection. An attempt of that time that gets no response stays in flight if its request
-    /// must not be retried. If such an attempt counted, the endpoint would not be used until long after it
-    /// has recovered.
+    /// of the latest ejection. An attempt sent before then that gets no response, and whose request must not
+    /// be retried, may stay in flight until its client disconnects. If it counted, the endpoint would seem
+    /// unresponsive, and would not be used, until long after it has recovered.
     pub fn in_flight_since_ejection(&self) -> impl Iterator<Item = Micros> + '_ {
         self.in_flight.iter().copied().filter(|&sent_at| sent_at >= self.ejected_until)
     }
--- a/src/decision/balancer/endpoint_table.rs
+++ b/src/decision/balancer/endpoint_table.rs
@@ -17,8 +17,9 @@
 /// Of a longer list, the subset is examined and, if no endpoint of it is available, up to this many of the
 /// others. A greater number finds better endpoints, but takes more time for each attempt.
 pub(super) const MAX_EXAMINED: usize = 256;
-/// The index of endpoints with traffic drops none while it holds up to this many.
-const MIN_WITH_TRAFFIC: usize = MAX_EXAMINED;
+/// Endpoints whose traffic is old are dropped from the index of endpoints with traffic only while it holds
+/// more than this many.
+const TRAFFIC_INDEX_CLEANUP_SIZE: usize = MAX_EXAMINED;
 /// A completion rate, in requests per second, that is lost in rounding when the rates of all endpoints are
 /// summed.
 const NEGLIGIBLE_COMPLETION_RATE: f64 = 1e-20;
@@ -282,7 +283,7 @@
     }
 
     fn drop_old_traffic(&mut self, now: Micros) {
-        if self.with_traffic.len() <= MIN_WITH_TRAFFIC {
+        if self.with_traffic.len() <= TRAFFIC_INDEX_CLEANUP_SIZE {
             return;
         }
         let slots = &self.slots;
--- a/src/decision/balancer/failure_shares.rs
+++ b/src/decision/balancer/failure_shares.rs
@@ -9,16 +9,16 @@
 pub(super) const FAILURE_TIME_CONSTANT: f64 = 15.0e6;
 
 /// A kind of failure that is tracked separately. An endpoint may fail one kind of request and serve the
-/// others; it is then avoided for that kind alone (outlier detection by success rate).
+/// others; the cost of an attempt then rises for that kind alone (`cost`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum FailureKind {
     /// An error response to, or a rejection of, a request of the class with this index.
     Class(usize),
     /// An error response to, or a rejection of, a request of the plan with this index.
     Plan(usize),
-    /// No response in time, whatever the class and the plan. A success resets the consecutive ejections, so
-    /// a node that seldom sends to an endpoint would otherwise learn of each lost request as if it were the
-    /// first.
+    /// No response within the latency bound, whatever the class and the plan. It is kept as a share because a
+    /// success resets the count of ejections. With ejections alone, a node that seldom sends to an endpoint
+    /// that drops some requests would treat each lost request as the first.
     Unanswered,
 }
 
--- a/src/decision/balancer/latency_estimator.rs
+++ b/src/decision/balancer/latency_estimator.rs
@@ -7,7 +7,7 @@
 pub(super) const LATENCY_GAIN: f64 = 0.1;
 /// Mean response time that is assumed before the first response, in microseconds.
 const INITIAL_LATENCY: f64 = 100_000.0;
-/// A response time is unusual if it is more than this many mean deviations above the mean.
+/// A response time is above the latency bound if it is more than this many mean deviations above the mean.
 const DEVIATIONS_TO_BOUND: f64 = 4.0;
 
 /// Mean and mean deviation of the response times over all endpoints, in microseconds. Both are exponentially
@@ -31,7 +31,7 @@
 
     /// Returns the latency bound in microseconds: an attempt that is in flight for longer takes more time
     /// than the fleet usually needs.
-    pub fn upper_bound(&self) -> f64 {
+    pub fn latency_bound(&self) -> f64 {
         self.mean + DEVIATIONS_TO_BOUND * self.deviation
     }
 
--- a/src/decision/balancer/mod.rs
+++ b/src/decision/balancer/mod.rs
@@ -33,7 +33,7 @@
 
 pub(super) use endpoint::{EndpointBalancingState, COMPLETION_TIME_CONSTANT};
 
-/// An endpoint is typical if its mean response time is below this multiple of the fleet's mean.
+/// The mean response time of an endpoint is typical if it is below this multiple of the fleet's mean.
 const TYPICAL_LATENCY_MULTIPLE: f64 = 2.0;
 
 /// The zone and cell of an endpoint. A request keeps this copy, because the endpoint may be removed while
@@ -97,8 +97,8 @@
 
 /// What an ended attempt tells the load shedder.
 pub(super) struct RecordedAttempt {
-    /// The response time of the attempt; `None` unless the attempt succeeded at an endpoint that is about as
-    /// fast as the fleet.
+    /// The response time of the attempt; `None` unless the attempt succeeded at an endpoint whose mean
+    /// response time is typical.
     pub typical_response_time: Option<Micros>,
 }
 
@@ -161,7 +161,7 @@
         let subset = self.subset(settings, now);
         self.slow_start.set_subset_capacity(subset.capacity());
         let selector = self.selector(settings, now, request, &subset);
-        let mut best = selector.best_of_initial(random);
+        let mut best = selector.best_of_always_examined(random);
         if subset.has_unexamined_positions() && !best.as_ref().is_some_and(Candidate::is_available) {
             best = selector.or_better_beyond_subset(best, random);
         }
@@ -243,7 +243,7 @@
             endpoint.failures.record(&sample, now);
             self.fleet_failures.record(&sample, now);
         }
-        let must_eject = self.outlier_detector.must_eject(endpoint, ended, now);
+        let must_eject = self.outlier_detector.record_and_decide_ejection(endpoint, ended, now);
         let mut typical_response_time = None;
         match ended.outcome {
             Outcome::Ok => {
@@ -256,8 +256,8 @@
             // An error response shows only that the endpoint is alive. It is no sample of the response time
             // or of the completion rate, since an endpoint that fails fast would seem idle and fast.
             Outcome::Error => endpoint.last_response_at = now,
-            // A request whose connection was reset has left the endpoint. Overload is judged by the rate at
-            // which requests leave endpoints.
+            // A request whose connection was reset no longer loads the endpoint. Overload is judged by the
+            // completion rate, so it includes such requests.
             Outcome::Reset if !must_eject => endpoint.record_completion(now),
             _ => {}
         }
@@ -306,11 +306,13 @@
     /// Returns the latency bound in microseconds: an attempt that is in flight for longer takes more time
     /// than the fleet usually needs.
     pub fn latency_bound(&self) -> f64 {
-        self.latency_estimator.upper_bound()
+        self.latency_estimator.latency_bound()
     }
 
-    /// Returns the endpoints with traffic that are healthy and about as fast as the fleet, in the order of
-    /// their ids. Overload is judged by these endpoints.
+    /// Returns the typical endpoints that have traffic, in the order of their ids. An endpoint is typical if
+    /// it is active, has had no ejection since its last success or restart, is not unresponsive, and has a
+    /// mean response time below [`TYPICAL_LATENCY_MULTIPLE`] times the fleet's. Overload is judged by typical
+    /// endpoints.
     pub fn typical_endpoints(&self, now: Micros) -> impl Iterator<Item = &EndpointBalancingState> {
         let fleet_mean_latency = self.latency_estimator.fleet_mean_latency();
         let latency_bound = self.latency_bound();
@@ -341,14 +343,14 @@
     }
 }
 
-/// Returns whether an endpoint is about as fast as the fleet, whose mean response time is
+/// Returns whether the mean response time of an endpoint is typical in a fleet whose mean response time is
 /// `fleet_mean_latency` microseconds.
 fn has_typical_latency(endpoint: &EndpointBalancingState, fleet_mean_latency: f64) -> bool {
     endpoint.latency < TYPICAL_LATENCY_MULTIPLE * fleet_mean_latency
 }
 
 /// Returns whether an attempt ended without a response after more than `latency_bound` microseconds, and its
-/// endpoint has sent no other response since the attempt started.
+/// endpoint has sent no success or error response since the attempt started.
 fn is_unanswered(endpoint: &EndpointBalancingState, ended: &EndedAttemptSample, latency_bound: f64) -> bool {
     matches!(ended.outcome, Outcome::TimedOut | Outcome::Cancelled)
         && no_response_since(endpoint, ended.sent_at)
--- a/src/decision/balancer/outlier_detection.rs
+++ b/src/decision/balancer/outlier_detection.rs
@@ -11,7 +11,7 @@
 /// twice as long, up to the maximum.
 const INITIAL_EJECTION: Micros = 400_000;
 const MAX_EJECTION: Micros = 6_400_000;
-/// Upper bound of the number of doublings. The ejection time has reached the maximum by then.
+/// Upper bound of the number of doublings. The ejection duration has reached the maximum by then.
 const MAX_EJECTION_DOUBLINGS: u32 = 8;
 /// Consecutive connection resets eject an endpoint if the probability that as many occur by chance, at the
 /// fleet's share of resets, is below this value.
@@ -42,9 +42,10 @@
 }
 
 impl OutlierDetector {
-    /// Records how an attempt ended and returns whether the endpoint is to be ejected for it. Must be called
-    /// before the response is recorded in `endpoint`.
-    pub fn must_eject(
+    /// Records the end of an attempt in the counts of connection resets and returns whether the endpoint is
+    /// to be ejected for it. Must be called before the response is recorded in `endpoint`, so before
+    /// `last_response_at` is updated.
+    pub fn record_and_decide_ejection(
         &mut self,
         endpoint: &mut EndpointBalancingState,
         ended: &EndedAttemptSample,
@@ -66,9 +67,10 @@
     ///
     /// On a lossy network, or where endpoints close idle connections early, connections break at all
     /// endpoints alike. If each were ejected for one reset, most of a fleet that responds would be ejected.
-    /// The resets of an endpoint since its last response are therefore weighed by how rare resets are in the
-    /// fleet; where they are rare, one reset is enough. The drawback: where endpoints fail while many others
-    /// reset connections, each failed endpoint takes two or three more attempts before it is ejected.
+    /// The resets of an endpoint since its last response (a rejection counts) are therefore weighed by how
+    /// rare resets are in the fleet; where they are rare, one reset is enough. The drawback: where endpoints
+    /// fail while many others reset connections, each failed endpoint takes two or three more attempts before
+    /// it is ejected.
     fn record_connection(
         &mut self,
         endpoint: &mut EndpointBalancingState,
@@ -92,7 +94,7 @@
     }
 }
 
-/// Returns whether an endpoint has sent no response since `sent_at`.
+/// Returns whether an endpoint has sent no success or error response since `sent_at`.
 pub(super) fn no_response_since(endpoint: &EndpointBalancingState, sent_at: Micros) -> bool {
     endpoint.last_response_at < sent_at
 }
@@ -109,12 +111,12 @@
             return;
         }
         self.consecutive_ejections += 1;
-        self.ejected_until = now + self.latest_ejection_time();
+        self.ejected_until = now + self.latest_ejection_duration();
     }
 
     /// Returns how long the latest ejection lasts, in microseconds; without consecutive ejections, how
     /// long the first one would.
-    pub(super) fn latest_ejection_time(&self) -> Micros {
+    pub(super) fn latest_ejection_duration(&self) -> Micros {
         let doublings = self.consecutive_ejections.saturating_sub(1).min(MAX_EJECTION_DOUBLINGS);
         (INITIAL_EJECTION << doublings).min(MAX_EJECTION)
     }
--- a/src/decision/balancer/selection.rs
+++ b/src/decision/balancer/selection.rs
@@ -31,8 +31,8 @@
 /// Whether slow start gives an endpoint precedence. The lesser value is preferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Precedence {
-    /// It is warming up and due a request. Ranked by cost alone, it would always lose to the best of the
-    /// warm endpoints, and these would be overloaded.
+    /// It is warming up and due a request (`slow_start`). Ranked by cost alone, it would always lose to the
+    /// best of the warm endpoints, and these would be overloaded.
     WarmingUpAndDue,
     Ordinary,
 }
@@ -83,7 +83,8 @@
     pub slow_start: &'a SlowStart,
     /// Mean response time of the fleet in microseconds.
     pub fleet_mean_latency: f64,
-    /// The time in microseconds after which a response is late.
+    /// An attempt in flight for longer than this many microseconds takes more time than the fleet usually
+    /// needs.
     pub latency_bound: f64,
     pub cost_model: CostModel<'a>,
     /// The deduplication group to which the attempt is bound, if an earlier attempt may have run.
@@ -99,7 +100,7 @@
 impl Selector<'_> {
     /// Returns the best of the endpoints that are examined for each attempt, or `None` if none of them may be
     /// sent this one.
-    pub fn best_of_initial(&self, random: &mut RandomSource) -> Option<Candidate> {
+    pub fn best_of_always_examined(&self, random: &mut RandomSource) -> Option<Candidate> {
         self.best_of(self.subset.positions_to_examine(), None, random)
     }
 
--- a/src/decision/balancer/slow_start.rs
+++ b/src/decision/balancer/slow_start.rs
@@ -1,8 +1,11 @@
 //! Slow start: an endpoint that has just started is sent a share of the load that grows as it warms up.
 //!
+//! A warm endpoint is *due* one request for each subset capacity's worth of requests that the node admits.
+//! The subset capacity is the sum of the warm fractions of the subset's endpoints, at least 1.
+//!
 //! Too many requests overload an endpoint that is warming up. A node sends such an endpoint at most the warm
 //! fraction of the requests that a warm endpoint was due in the same time, so the sum over all nodes also
-//! stays at the warm fraction.
+//! stays at the warm fraction. The endpoint is due a request while its token bucket holds one.
 
 use super::endpoint::EndpointBalancingState;
 use crate::decision::estimators::{RandomSource, TokenBucket, MICROS_PER_SECOND};
@@ -58,8 +61,8 @@
 
 /// Returns a lower bound of the share of its full capacity that an endpoint has at `now`, 0 to 1. The share
 /// rises with the time since the endpoint's start; it is greater if the endpoint responds faster than the
-/// fleet, whose mean response time is `fleet_mean_latency` microseconds. Without a start time or a warm-up
-/// duration it is 1.
+/// fleet, whose mean response time is `fleet_mean_latency` microseconds. If the start is unknown or long ago,
+/// or without a warm-up duration, it is 1.
 pub(super) fn warm_fraction(
     rules: &WarmUp,
     endpoint: &EndpointBalancingState,
--- a/src/decision/deferral.rs
+++ b/src/decision/deferral.rs
@@ -1,5 +1,7 @@
-//! The deferral schedule (DSRT in docs/design.md): requests over quota are rejected with `Retry-After`
-//! times that are spaced apart.
+//! The deferral schedule of DSRT (docs/design.md), which the normal path of a request follows: a rejected
+//! request over quota gets a `Retry-After` time. The times of an account's requests are spaced apart, and at
+//! most a limited number of them, D in the DSRT paper, is outstanding. Beyond that, requests are rejected
+//! without a `Retry-After` time.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,10 +9,11 @@
 use super::quota::LocalUsage;
 use super::{AccountId, Micros, Plan};
 
-/// Maximum number of outstanding deferrals of one account: D in the DSRT paper.
+/// Maximum number of outstanding deferrals of one account (D).
 const MAX_OUTSTANDING: usize = 16;
 
-/// The outstanding deferrals of this node's accounts: their clients were given a time that is not yet due.
+/// The outstanding deferrals of this node's accounts: their clients were given a `Retry-After` time that has
+/// not been reached.
 #[derive(Default)]
 pub(super) struct DeferralSchedule {
     /// Times at which the clients should retry, the earliest first.
@@ -60,14 +63,15 @@
         }
     }
 
-    /// Returns the terms for a request of a plan that only limits its attempts in flight.
+    /// Returns the terms for a request of a plan that only has a concurrency quota.
     ///
-    /// The spacing is the mean time until one of this node's slots is free. `fleet_mean_latency` is in
-    /// microseconds.
+    /// The spacing is the mean time until one of the account's attempts at this node ends, while this node
+    /// uses its even share of the concurrency quota, at least 1. The horizon is the time in which as many
+    /// attempts as the quota allows end one after another. `fleet_mean_latency` is in microseconds.
     pub fn for_concurrency_quota(plan: &Plan, fleet_mean_latency: f64, local_usage: &LocalUsage) -> Self {
-        let local_slots = (plan.max_in_flight as f64 / local_usage.node_count).max(1.0);
+        let local_concurrency_quota = (plan.max_in_flight as f64 / local_usage.node_count).max(1.0);
         DeferralTerms {
-            spacing: fleet_mean_latency / local_slots,
+            spacing: fleet_mean_latency / local_concurrency_quota,
             horizon: fleet_mean_latency * plan.max_in_flight as f64,
         }
     }
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -29,7 +29,7 @@
     pub state: EndpointState,
     /// Capacity relative to other endpoints; 1 if the list has no weight for the endpoint.
     pub weight: f64,
-    /// Time of the endpoint's latest start; 0 if that was long ago.
+    /// Time of the endpoint's latest start; 0 if it is unknown or long ago. The endpoint then counts as warm.
     pub started_at: Micros,
 }
 
@@ -63,30 +63,34 @@
     pub first_account_node: u32,
     /// How many nodes receive the account's requests.
     pub account_node_count: u32,
-    /// Whether the client marked the request as a retry.
+    /// Whether the request is a client retry, as marked by the client.
     pub is_retry: bool,
     /// Time at which the client stops waiting for this request.
     pub deadline: Micros,
 }
 
 /// How an attempt, a probe or a counter call ended.
+///
+/// The outcome of an attempt shows whether the request may have run, that of a counter call whether the call
+/// was added to the counter. The decisions ignore the outcome of a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It succeeded.
+    /// It succeeded. A counter call was added.
     Ok,
-    /// It got an error response. The request may have run.
+    /// An attempt got an error response: the request may have run. The reply to a counter call was malformed:
+    /// the call was added.
     Error,
-    /// It was rejected before it ran.
+    /// It was rejected. The request did not run; the call was not added.
     Rejected,
-    /// It got no response in time. The request may have run.
+    /// It got no response in time. The request may have run; the call may be added, even later.
     TimedOut,
-    /// No connection could be established. The request did not run.
+    /// No connection could be established. The request did not run; the call was not added.
     ConnectFailed,
-    /// The connection was reset. The request may have run.
+    /// The connection was reset. The request may have run; the call may have been added.
     Reset,
-    /// The node cancelled it. The request may have run.
+    /// The node cancelled it. The request may have run. A call counts as not added.
     Cancelled,
-    /// The node could not send it or was not allowed to. The request did not run.
+    /// The node could not send it or was not allowed to. The request did not run; the call was not added.
     NotSent,
 }
 
@@ -104,7 +108,7 @@
     pub request: RequestId,
     /// The number of the attempt within its request, from 0.
     pub attempt_number: u32,
-    /// The endpoint that the attempt was sent to.
+    /// The endpoint that the attempt was sent to. Not used by the decisions.
     pub endpoint: EndpointId,
     /// How the attempt ended.
     pub outcome: Outcome,
@@ -135,7 +139,8 @@
     },
     /// An attempt ended.
     AttemptEnded(EndedAttempt),
-    /// No client waits for the response any longer: the client disconnected or its deadline has passed.
+    /// The client disconnected, or the request's deadline has passed. No client waits for the response any
+    /// longer.
     ClientDisconnected {
         /// The request whose response is no longer needed.
         request: RequestId,
@@ -169,7 +174,7 @@
     },
     /// A timer fired.
     TimerFired {
-        /// The timer's number.
+        /// The timer's number. Not used by the decisions.
         id: u64,
     },
     /// Graceful shutdown started. The listener is closed, but requests may still arrive on open connections.
--- a/src/decision/identifiers.rs
+++ b/src/decision/identifiers.rs
@@ -2,8 +2,9 @@
 
 use std::sync::Arc;
 
-/// Time in microseconds. A name that ends in `_at`, or `deadline`, is a point on the node's clock; any other
-/// value is a duration.
+/// Time in microseconds. `now`, `deadline` and names that end in `_at`, `_until`, `_since` or `_before` are
+/// points on the node's clock; other values are durations. Only slow start passes a count of requests in
+/// place of the time.
 pub type Micros = u64;
 
 /// Identifies a request. The decisions return it unchanged.
--- a/src/decision/load_shedding.rs
+++ b/src/decision/load_shedding.rs
@@ -13,22 +13,23 @@
 const RESPONSE_TIME_CONSTANT: f64 = 4.0e6;
 /// Weight of the mean response time in the expected response time, as a number of attempts in flight.
 const MEAN_RESPONSE_TIME_WEIGHT: f64 = 3.0;
-/// Lower bound of the startup correction, by which the rate of responses is divided. It corresponds to a node
+/// Lower bound of the startup correction, by which the completion rate is divided. It corresponds to a node
 /// whose age is this share of the time constant of the rate.
 const MIN_STARTUP_CORRECTION: f64 = 1e-3;
 /// Lower bound of the greatest weight and of the greatest weight factor, which are used as divisors.
 const MIN_WEIGHT: f64 = 1e-9;
-/// A request of the least weight is shed if its expected response time exceeds this share of the latency
-/// objective. A greater share admits more requests, more of which get a late response. A smaller share sheds
-/// more requests early.
+/// A request of the least weight is shed if its expected response time exceeds this share of the shortest
+/// latency objective of all classes. A greater share admits more requests, more of which get a late response.
+/// A smaller share sheds more requests early.
 pub(super) const MIN_SHED_THRESHOLD: f64 = 0.25;
 /// The same share for requests of the greatest weight.
 pub(super) const MAX_SHED_THRESHOLD: f64 = 0.48;
 
-/// Detects overload by attempts in flight and by response times, both at healthy endpoints.
+/// Detects overload by the attempts in flight at typical endpoints ([`Balancer::typical_endpoints`]) and by
+/// the response times of endpoints whose mean response time is typical.
 #[derive(Default)]
 pub(super) struct LoadShedder {
-    /// Number of attempts in flight, smoothed over ticks.
+    /// Number of attempts in flight at typical endpoints, smoothed over ticks.
     in_flight: f64,
     /// Recent response times, in microseconds.
     response_times: DecayingMean,
@@ -42,12 +43,13 @@
         self.started_at = now;
     }
 
-    /// Records a response time of an endpoint that is about as fast as the others.
+    /// Records the response time of a success at an endpoint whose mean response time is typical.
     pub fn record_response_time(&mut self, now: Micros, elapsed: Micros) {
         self.response_times.record(now, elapsed as f64, RESPONSE_TIME_CONSTANT);
     }
 
-    /// Adds the current number of attempts in flight to the mean. To be called once per tick.
+    /// Adds the current number of attempts in flight at typical endpoints to the mean. To be called once per
+    /// tick.
     pub fn on_tick(&mut self, balancer: &Balancer, now: Micros) {
         let latency_bound = balancer.latency_bound();
         let in_flight: usize = balancer
@@ -79,8 +81,8 @@
         let limit = (shortest_latency_objective(settings) * threshold).max(1.0);
         let expected = self.expected_response_time(settings, balancer, now);
         let overload_ratio = expected * self.confidence(now) / limit;
-        // The expected response time is smoothed: without new requests it falls by a constant share each
-        // tick.
+        // An estimate: it assumes that the expected response time falls as the smoothed number of attempts in
+        // flight does, which without new requests is by a constant share each tick.
         (overload_ratio > 1.0)
             .then(|| (overload_ratio.ln() / IN_FLIGHT_GAIN * TICK_INTERVAL as f64) as Micros)
     }
@@ -94,11 +96,12 @@
 
     /// Returns the response time that a new request can expect, in microseconds; 0 before any response.
     ///
-    /// By Little's law it is the number of this node's attempts in flight divided by the rate at which
-    /// responses arrive, both at healthy endpoints. A node that receives a few requests a second has one
-    /// attempt in flight or none, and a single one would look like a fully loaded fleet. Therefore the mean
-    /// of recent response times is included with the weight of `MEAN_RESPONSE_TIME_WEIGHT` attempts in
-    /// flight. Past response times lose their weight while no responses arrive.
+    /// By Little's law it is the number of this node's attempts in flight divided by the rate of successes
+    /// and of connection resets that did not eject the endpoint, both at typical endpoints. A node that
+    /// receives a few requests a second has one attempt in flight or none, and a single one would look like a
+    /// fully loaded fleet. Therefore the mean of recent response times is included with the weight of
+    /// `MEAN_RESPONSE_TIME_WEIGHT` attempts in flight. Past response times lose their weight while no
+    /// responses arrive.
     pub fn expected_response_time(&self, settings: &Settings, balancer: &Balancer, now: Micros) -> f64 {
         let rate: f64 = balancer.typical_endpoints(now).map(|endpoint| endpoint.completion_rate(now)).sum();
         if rate > 0.0 {
@@ -118,8 +121,8 @@
         self.response_times.with_prior(now, prior, RESPONSE_TIME_CONSTANT)
     }
 
-    /// Returns the share of its final value that the measured rate of steady responses has reached since the
-    /// node started, from 0 to 1. The measured rate is divided by it.
+    /// Returns the share of its final value that the measured completion rate has reached since the node
+    /// started if completions are steady, from 0 to 1. The measured rate is divided by it.
     fn startup_correction(&self, now: Micros) -> f64 {
         1.0 - (-(now.saturating_sub(self.started_at) as f64) / COMPLETION_TIME_CONSTANT).exp()
     }
@@ -130,8 +133,8 @@
     settings.classes.iter().map(|class| class.latency_objective).min().unwrap_or(0) as f64
 }
 
-/// Returns the share of the latency objective from which on a request is shed, by the request's weight
-/// relative to the greatest weight. Returns `None` if its plan is not in the settings.
+/// Returns the share of the shortest latency objective of all classes from which on a request is shed, by the
+/// request's weight relative to the greatest weight. Returns `None` if its plan is not in the settings.
 fn shed_threshold(settings: &Settings, request: &NewRequest) -> Option<f64> {
     let plan = settings.plans.get(request.plan)?;
     let class = &settings.classes[request.class];
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,11 +1,11 @@
-//! The decisions of one edge node: whether a request is admitted, deferred or rejected, and which endpoint
-//! it is sent to.
+//! The decisions of one edge node: whether a request is admitted, made to wait or rejected, and which
+//! endpoint it is sent to.
 //!
 //! [`DecisionEngine`] takes events, each with its time, and returns actions. It opens no socket and reads no
 //! clock. The modules `event`, `action` and `settings` define its input and output types. The normal path of
-//! a request follows DSRT (docs/design.md): a request within its account's quota draws units from this node's
-//! lease and is sent to an endpoint. A request over quota is rejected with a `Retry-After` time; these
-//! times are spaced apart.
+//! a request: if it is within its account's quota, it draws units from this node's lease and is sent to an
+//! endpoint. If it is over quota, it is deferred, which means that it is rejected with a `Retry-After` time
+//! (`deferral`).
 //!
 //! Each submodule has its own state, and the engine passes values between them. Reading order: this file,
 //! `admission`, `quota`, `deferral`, `attempts`, `balancer`, `load_shedding`. All of them use `estimators`.
@@ -63,7 +63,7 @@
     load_shedder: LoadShedder,
 }
 
-/// The number of entries that a node currently keeps state of.
+/// The numbers of accounts and endpoints that a node keeps state of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetainedEntries {
     /// Accounts with state.
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Returns the number of accounts and endpoints that the node keeps state of.
+    /// Returns the numbers of accounts and endpoints that the node keeps state of.
     pub fn retained_entries(&self) -> RetainedEntries {
         RetainedEntries {
             accounts: self.quota.account_count(),
@@ -159,8 +159,9 @@
         let polls = self.settings.polls_endpoint_list;
         if kind == EndpointUpdateKind::StaleSnapshot || (kind == EndpointUpdateKind::WatchLost && polls) {
             // A list from before a restart contains endpoints that have failed since then and lacks those
-            // that are warming up, so the current list is requested. If the list is polled, a lost watch has
-            // to be started again.
+            // that are warming up, so the current list is requested. A lost watch is started again only if
+            // the nodes request the list from one shared service; otherwise the node's own agent pushes the
+            // list.
             actions.push(if polls { Action::WatchEndpoints } else { Action::FetchEndpoints });
         }
         if kind == EndpointUpdateKind::WatchLost {
@@ -193,7 +194,7 @@
     }
 
     fn release_all_leases(&mut self, actions: &mut Vec<Action>) {
-        self.quota.release_idle_leases(&self.settings, self.now, 0, actions);
+        self.quota.release_leases_idle_for(&self.settings, self.now, 0, actions);
     }
 
     /// Runs the housekeeping and sets its timer again. The steps, in this order:
@@ -220,7 +221,7 @@
     /// needed.
     fn sweep(&mut self, actions: &mut Vec<Action>) {
         self.swept_at = self.now;
-        self.quota.release_unused_leases(&self.settings, self.now, actions);
+        self.quota.sweep_idle_leases(&self.settings, self.now, actions);
         self.drop_unneeded_state();
         self.quota.drop_expired_calls(self.now);
     }
--- a/src/decision/quota/account.rs
+++ b/src/decision/quota/account.rs
@@ -28,13 +28,14 @@
     pub plan: usize,
     /// Number of nodes that receive the account's requests, as given by its latest request.
     pub node_count: f64,
-    /// Units that this node drew from the counter and that no request has used yet.
+    /// Units that this node leased and that no request has drawn yet.
     pub lease: f64,
     /// The account's token bucket in the whole fleet, as far as this node knows it.
     pub bucket: FleetBucket,
     /// What clients request at this node, and what is drawn here.
     pub demand: Demand,
-    /// Share of the counter's replies to leases that found the bucket short, 0 to 1.
+    /// Share of the counter's replies to leases that found the bucket short, 0 to 1. A bucket is short if it
+    /// holds fewer units than the call asks for.
     pub shortage: DecayingMean,
     /// Number of requests without a call of their own that the next call represents as a sample.
     pub sampling_weight: f64,
@@ -71,7 +72,8 @@
     }
 
     /// Returns the units that the fleet's bucket is expected to hold at `now` in addition to this node's
-    /// lease, if the other nodes continue to draw at their recent rate.
+    /// lease, if the other nodes continue to draw at their recent rate. The bucket is assumed to refill at
+    /// this node's even share of the quota or faster. The result is at most the burst less the lease.
     pub fn projected_level(&self, plan: &Plan, now: Micros) -> f64 {
         let projected = self.bucket.projected_level(plan, self.node_count, now);
         projected.min(plan.burst_units - self.lease)
@@ -82,26 +84,27 @@
         self.queue.iter().map(|request| request.units).sum()
     }
 
-    /// Returns whether the plan's quota of attempts in flight is used up; `false` if the plan has no such
-    /// quota.
+    /// Returns whether the plan's concurrency quota is used up; `false` if the plan has no such quota.
     ///
     /// The attempts in flight at other nodes are estimated from their recent draws. If no recent total shows
-    /// these draws, the other nodes are assumed to use their even share of the slots. A node with at most one
-    /// attempt in flight is never held back.
+    /// these draws, the other nodes are assumed to use their even share of the concurrency quota. A node with
+    /// at most one attempt in flight is never held back.
     pub fn is_concurrency_exhausted(&self, plan: &Plan, fleet_mean_latency: f64, now: Micros) -> bool {
         if plan.max_in_flight == 0 {
             return false;
         }
-        let slots = plan.max_in_flight as f64;
+        let concurrency_quota = plan.max_in_flight as f64;
         let in_flight_elsewhere = if self.bucket.has_recent_total(now) {
-            let requests_elsewhere = self.bucket.draw_rate_elsewhere(now) / self.demand.mean_units.max(0.1);
-            requests_elsewhere * fleet_mean_latency / MICROS_PER_SECOND
+            let request_rate_elsewhere =
+                self.bucket.draw_rate_elsewhere(now) / self.demand.mean_units.max(0.1);
+            request_rate_elsewhere * fleet_mean_latency / MICROS_PER_SECOND
         } else {
-            slots * (1.0 - 1.0 / self.node_count)
+            concurrency_quota * (1.0 - 1.0 / self.node_count)
         };
-        // The 0.5 rounds to whole slots.
-        let occupied_slots = self.attempts_in_flight as f64 + in_flight_elsewhere + 0.5;
-        occupied_slots > slots.max(in_flight_elsewhere + 1.5)
+        // The estimate may be a fraction. Adding a half rounds it to whole attempts: the quota is used up if
+        // the rounded number of attempts in flight reaches it.
+        let in_flight_plus_half = self.attempts_in_flight as f64 + in_flight_elsewhere + 0.5;
+        in_flight_plus_half > concurrency_quota.max(in_flight_elsewhere + 1.5)
     }
 
     /// Returns whether the account can be dropped without a loss: it has no work in flight, its bucket must
--- a/src/decision/quota/counter_call.rs
+++ b/src/decision/quota/counter_call.rs
@@ -15,7 +15,8 @@
     /// The part of `reported_units` that accounts for the requests that the call represents as a sample.
     pub sampled_units: f64,
     /// The part of `reported_units` that corrects overflow. It is reported at most once, because the next
-    /// total shows what is left to correct.
+    /// total shows what is left to correct. 0 for a call that takes a correction back: if such a call is not
+    /// added, the next call reports its amount.
     pub overflow_units: f64,
     pub sent_at: Micros,
     /// Number of times that the counter has been read again for this call.
@@ -51,8 +52,9 @@
     InvalidTotal,
     /// The call was not added.
     NotAdded,
-    /// The call was cancelled or never sent.
-    NotSent,
+    /// The call was cancelled or never sent. It is handled as not added, although a cancelled call may have
+    /// been sent.
+    CancelledOrNotSent,
     /// No reply arrived in time. The service may still add the call, and the reply may still arrive.
     TimedOut,
     /// The call was added, but the reply could not be read.
@@ -68,7 +70,7 @@
             Outcome::Ok if total.is_finite() => CounterReply::Total(total),
             Outcome::Ok => CounterReply::InvalidTotal,
             Outcome::Rejected | Outcome::ConnectFailed => CounterReply::NotAdded,
-            Outcome::Cancelled | Outcome::NotSent => CounterReply::NotSent,
+            Outcome::Cancelled | Outcome::NotSent => CounterReply::CancelledOrNotSent,
             Outcome::TimedOut => CounterReply::TimedOut,
             Outcome::Error => CounterReply::Unreadable,
             Outcome::Reset => CounterReply::ConnectionReset,
--- a/src/decision/quota/counter_calls.rs
+++ b/src/decision/quota/counter_calls.rs
@@ -105,8 +105,10 @@
     }
 }
 
-/// Gives back to the account what a call that was not added should have reported or released. After a reread
-/// it is unknown whether the call was added, so nothing is given back.
+/// Gives back to the account what a call that was not added should have reported or released. After a reread,
+/// the first call was or may have been added, so nothing is given back.
+///
+/// The units of sampled requests are given back as well: the next call reports them as unreported units.
 pub(super) fn revert_call(account: &mut Account, call: &CounterCall) {
     if call.rereads == 0 {
         account.unreported_units += call.reported_units - call.overflow_units;
--- a/src/decision/quota/counter_health.rs
+++ b/src/decision/quota/counter_health.rs
@@ -5,7 +5,8 @@
 use crate::decision::estimators::RandomSource;
 use crate::decision::{Micros, Settings};
 
-/// The pause after a failed call. It doubles with each failure from the initial to the maximum value.
+/// Upper bound of the pause after a failed call. It doubles with each failure from the initial to the maximum
+/// value. The pause is at least half of it.
 const INITIAL_BACKOFF: Micros = 50_000;
 const MAX_BACKOFF: Micros = 800_000;
 /// Additive increase of the call share after a prompt reply.
@@ -21,9 +22,11 @@
 
 /// The health of the counter service, derived from its replies to this node.
 pub(super) struct CounterHealth {
+    /// Upper bound of the next pause.
     backoff: Micros,
     /// When the latest pause began; 0 before the first.
     paused_at: Micros,
+    /// When the latest pause ends; 0 before the first pause and after each total.
     paused_until: Micros,
     call_share: f64,
 }
--- a/src/decision/quota/even_share.rs
+++ b/src/decision/quota/even_share.rs
@@ -24,6 +24,9 @@
 
 /// Admits units without the counter. They are taken from the lease first and then from the even share, as far
 /// as it holds them. The next call reports all units that the lease did not hold.
+///
+/// The lease is 0 afterwards. If it held more than `units`, the surplus is added to the even share and booked
+/// as negative unreported units, so the next call gives it back to the counter.
 pub(super) fn admit_unreported(account: &mut Account, units: f64, now: Micros) {
     let unleased_units = units - account.lease.max(0.0);
     account.lease = 0.0;
--- a/src/decision/quota/fleet_bucket.rs
+++ b/src/decision/quota/fleet_bucket.rs
@@ -1,8 +1,9 @@
 //! The token bucket that an account has in the whole fleet, as far as one node knows it from the counter's
 //! totals.
 //!
-//! A window's total is the sum of all units that all nodes drew in the window. The bucket's level follows
-//! from it, except for two things that a total cannot show:
+//! A window's total is the sum of the units that all nodes drew in the window. Here a node draws units by its
+//! calls: it leases them, less those that it releases, or reports them. The bucket's level follows from the
+//! total, except for two things that a total cannot show:
 //!
 //! - Units that overflowed while the bucket was full. They are added to the total as an overflow correction.
 //! - Units that were drawn before a flush or restart of the service, by which the total was lost.
@@ -13,8 +14,8 @@
 use crate::decision::estimators::{DecayingRate, MICROS_PER_SECOND};
 use crate::decision::{Micros, Plan};
 
-/// A total shows what other nodes draw for this long. It is longer than the time after which an idle lease is
-/// released, so if it has passed, the counter has not replied although the account was in use.
+/// For this long after a total, the recent draws of other nodes are taken from it. Longer than
+/// `LEASE_IDLE_TIMEOUT`, so an account in use whose total is older has had no reply.
 const TOTAL_LIFETIME: Micros = 4_000_000;
 
 /// The latest total of the counter that this node has seen.
@@ -49,7 +50,8 @@
 
 /// A total of the counter compared with the previous one. Amounts are in units.
 struct TotalChange {
-    /// Growth of the total since it was last seen, including this call's units.
+    /// Growth of the total since it was last seen, including this call's units; if no earlier total is
+    /// comparable, only the units that this call leased.
     growth: f64,
     /// Whether no total of this window was seen before.
     is_first_in_window: bool,
@@ -92,14 +94,16 @@
         self.drawn_elsewhere.per_second(now, RATE_TIME_CONSTANT)
     }
 
-    /// Returns the level at `now`, if the other nodes continue to draw at their recent rate.
+    /// Returns the level at `now`, if the other nodes continue to draw at their recent rate. The bucket is
+    /// assumed to refill at this node's even share of the quota or faster. The result may exceed the burst.
     pub fn projected_level(&self, plan: &Plan, node_count: f64, now: Micros) -> f64 {
         let net_rate = (plan.quota_units_per_second - self.draw_rate_elsewhere(now))
             .max(plan.quota_units_per_second / node_count);
         self.level + net_rate * seconds_between(self.updated_at, now)
     }
 
-    /// Updates the bucket with the total after a call that was added.
+    /// Updates the bucket with the counter's total after a call. If the call was not added, its units must be
+    /// 0.
     pub fn observe(
         &mut self,
         plan: &Plan,
--- a/src/decision/quota/known_level.rs
+++ b/src/decision/quota/known_level.rs
@@ -4,8 +4,9 @@
 use super::request::{QuotaDecision, QuotaRequest, QuotaStage};
 use crate::decision::Micros;
 
-/// The units that the fleet's bucket is expected to hold for a request, as far as this node knows.
+/// What a request may find in the fleet's bucket, as far as this node knows.
 pub(super) struct BucketView {
+    /// Projected level of the bucket, without this node's lease, in units.
     pub level: f64,
     /// Units of the requests that are served before this one.
     pub queued_units: f64,
@@ -21,8 +22,9 @@
     }
 }
 
-/// Decides a request without a new call, if a call is in flight or the latest total left too few units.
-/// Returns `None` if the counter has to be called.
+/// Decides a request without a new call, if a call is in flight, or if a total is known and the projected
+/// level plus the lease does not cover the request and those before it. Returns `None` if the counter has to
+/// be called.
 pub(super) fn decide_by_known_level(
     account: &Account,
     request: &QuotaRequest<'_>,
--- a/src/decision/quota/lease.rs
+++ b/src/decision/quota/lease.rs
@@ -1,4 +1,4 @@
-//! Leases: how many units a node draws from the counter ahead of use, and when it releases them.
+//! Leases: how many units a node leases from the counter ahead of use, and when it releases them.
 
 use super::account::Account;
 use crate::decision::estimators::MICROS_PER_SECOND;
@@ -18,7 +18,7 @@
     account.demand.record_draw(units, now);
 }
 
-/// Returns whether the lease should be refilled while requests still draw on it. This applies only if the
+/// Returns whether the lease should be refilled while requests still draw from it. This applies only if the
 /// demand is too large for a lease of the minimum size.
 pub(super) fn needs_prefetch(account: &Account, now: Micros) -> bool {
     let demand = expected_demand(account, now);
@@ -33,7 +33,7 @@
 pub(super) fn units_to_lease(account: &Account, plan: &Plan, needed: f64, now: Micros) -> f64 {
     let level = account.projected_level(plan, now);
     // The minimum block is limited to this node's part of the burst. If each node leased whole requests, the
-    // leases would hold all of the burst of an account with few requests, and other nodes could not draw it.
+    // leases would hold all of the burst of an account with few requests, and other nodes could lease none.
     let min_block =
         (MIN_LEASE_REQUESTS * account.demand.mean_units).min(plan.burst_units / account.node_count);
     let block = expected_demand(account, now).max(min_block);
--- a/src/decision/quota/mod.rs
+++ b/src/decision/quota/mod.rs
@@ -1,5 +1,5 @@
 //! Enforces the quotas of accounts. The nodes share counters at the counter service; each node leases units
-//! from them, and its requests draw on the leases.
+//! from them, and its requests draw units from the leases.
 //!
 //! [`QuotaLedger`] holds the accounts and connects the parts. Reading order:
 //!
@@ -92,7 +92,8 @@
         }
     }
 
-    /// Returns whether the account has as many attempts in flight over all nodes as its plan allows.
+    /// Returns whether the account is estimated to have as many attempts in flight over all nodes as its plan
+    /// allows.
     pub fn is_concurrency_exhausted(
         &self,
         request: &QuotaRequest<'_>,
@@ -108,7 +109,8 @@
     /// request that has waited for the counter for the maximum time, and while the counter is unavailable:
     ///
     /// 1. The lease covers the request: it is granted.
-    /// 2. A call is in flight, or the latest total left too few units: the request waits or is over quota.
+    /// 2. A call is in flight, or a total is known and the projected level plus the lease holds too few
+    ///    units: the request waits or is over quota.
     /// 3. The request is sampled for a call to the counter: it waits. Sampling is random, and limits the
     ///    share of requests that call to the share that the counter's health allows.
     /// 4. The even share covers the request: it is granted.
@@ -125,7 +127,7 @@
         fleet_load: impl FnOnce() -> f64,
         actions: &mut Vec<Action>,
     ) -> QuotaDecision {
-        if self.draw_from_lease(settings, now, request, actions) {
+        if self.try_draw_from_lease(settings, now, request, actions) {
             return QuotaDecision::Granted { drawn_units: request.units };
         }
         let Some(account) = self.accounts.get(&request.account) else {
@@ -161,7 +163,7 @@
         let Some(account) = self.accounts.get_mut(&request.account) else { return };
         account.sampling_weight = sampling.sampling_weight;
         let needed_units = request.units + bucket.queued_units;
-        self.lease(settings, request.account, needed_units, now, actions);
+        self.request_lease(settings, request.account, needed_units, now, actions);
     }
 
     /// Decides by the even share, then by speculative admission: the last three rules of
@@ -229,7 +231,7 @@
 
     /// Puts the units of a request that never ran back into the lease, and removes the request from the
     /// queue.
-    pub fn return_unused(&mut self, account: AccountId, id: &RequestId, drawn_units: f64) {
+    pub fn withdraw_request(&mut self, account: AccountId, id: &RequestId, drawn_units: f64) {
         // A client may reuse the id immediately. If the entry stayed in the queue, the new request would be
         // sent twice.
         self.remove_from_queue(account, id);
@@ -246,7 +248,7 @@
 
     /// Releases the leases of accounts that have had no request for longer than `idle_for`. Does nothing
     /// while the counter is unavailable.
-    pub fn release_idle_leases(
+    pub fn release_leases_idle_for(
         &mut self,
         settings: &Settings,
         now: Micros,
@@ -264,11 +266,11 @@
         }
     }
 
-    /// Releases the leases that have been idle for [`lease::LEASE_IDLE_TIMEOUT`], unless the counter service
-    /// is too busy for it.
-    pub fn release_unused_leases(&mut self, settings: &Settings, now: Micros, actions: &mut Vec<Action>) {
+    /// Releases the leases that have been idle for longer than [`lease::LEASE_IDLE_TIMEOUT`], unless the
+    /// counter service is too busy for it. Called by each sweep.
+    pub fn sweep_idle_leases(&mut self, settings: &Settings, now: Micros, actions: &mut Vec<Action>) {
         if self.counter_health.is_responsive() {
-            self.release_idle_leases(settings, now, lease::LEASE_IDLE_TIMEOUT, actions);
+            self.release_leases_idle_for(settings, now, lease::LEASE_IDLE_TIMEOUT, actions);
         }
     }
 
@@ -286,7 +288,7 @@
     /// Draws a request's units from the lease, if it holds them and no earlier request waits for them. Calls
     /// the counter for a prefetch if the lease should be refilled ahead of use. Returns whether the units
     /// were drawn.
-    fn draw_from_lease(
+    fn try_draw_from_lease(
         &mut self,
         settings: &Settings,
         now: Micros,
@@ -299,7 +301,7 @@
         if is_covered {
             lease::draw_from_lease(account, request.units, now);
             if self.counter_health.is_available(settings, now) && lease::needs_prefetch(account, now) {
-                self.lease(settings, request.account, 0.0, now, actions);
+                self.request_lease(settings, request.account, 0.0, now, actions);
             }
         }
         is_covered
@@ -307,7 +309,7 @@
 
     /// Calls the counter for a lease that covers the needed units and the demand, by the plan that the
     /// account's latest request named.
-    fn lease(
+    fn request_lease(
         &mut self,
         settings: &Settings,
         id: AccountId,
--- a/src/decision/quota/reconciliation.rs
+++ b/src/decision/quota/reconciliation.rs
@@ -21,12 +21,17 @@
     pub overflow_units: f64,
 }
 
-/// Determines from a total whether a call of unknown outcome was added.
+/// Determines from a total whether a call of unknown outcome was added. If it does not count as added, its
+/// units are set to 0.
 ///
 /// Units that other nodes drew must not be granted at this node as well. The call therefore counts as added
-/// only if the total grew by its amount, within [`TOTAL_PRECISION`], and as not added only if the total grew
-/// by less. Otherwise its units stay with the counter and no node gets them, at the expense of an account
-/// that has few units left.
+/// only if the total grew by its amount, within [`TOTAL_PRECISION`], and as not added only if its amount is
+/// positive and the total grew by less. Otherwise its units stay with the counter and no node gets them, at
+/// the expense of an account that has few units left.
+///
+/// If the call counts as not added, the next call reports the units admitted without the counter. The
+/// overflow correction is not reported again ([`CounterCall::overflow_units`]). The units of sampled requests
+/// are dropped, whereas after `revert_call` the next call reports them.
 pub(super) fn resolve_unknown_outcome(
     account: &mut Account,
     id: AccountId,
@@ -52,8 +57,9 @@
     call.sampled_units = 0.0;
 }
 
-/// Updates the account with the total after an added call: the draws of other nodes, the bucket's level and
-/// the lease. Returns the correction that the counter needs.
+/// Updates the account with the counter's total after a call, once it is determined whether the call was
+/// added: the draws of other nodes, the bucket's level and the lease. Returns the correction that the counter
+/// needs.
 pub(super) fn apply_total(
     account: &mut Account,
     plan: &Plan,
@@ -74,11 +80,12 @@
     Correction { excess_units, overflow_units }
 }
 
-/// Adds the units of the call that fit into the bucket to the lease. Returns the remaining units.
+/// Adds the units of the call that fit into the bucket to the lease. Returns the remaining units, which are
+/// above 0 if the bucket is short. The units charged for sampled requests do not reduce the grant.
 fn grant_lease(account: &mut Account, call: &CounterCall) -> f64 {
     let requested = call.lease_units.max(0.0);
-    let shortage = (account.bucket.level() + call.sampled_units).min(0.0);
-    let granted = (requested + shortage).clamp(0.0, requested);
+    let level_below_zero = (account.bucket.level() + call.sampled_units).min(0.0);
+    let granted = (requested + level_below_zero).clamp(0.0, requested);
     account.lease += granted;
     requested - granted
 }
--- a/src/decision/quota/replies.rs
+++ b/src/decision/quota/replies.rs
@@ -40,9 +40,10 @@
                 self.send_correction(id, correction, may_correct_overflow, now, actions);
             }
             CounterReply::TimedOut => self.calls.keep_timed_out(key, id, call),
-            CounterReply::NotAdded | CounterReply::NotSent | CounterReply::InvalidTotal => {
+            CounterReply::NotAdded | CounterReply::CancelledOrNotSent | CounterReply::InvalidTotal => {
                 revert_call(account, &call);
             }
+            // The reread failed too. Whatever the call added stays with the counter; nothing is given back.
             CounterReply::Unreadable | CounterReply::ConnectionReset => {}
         }
         Some(id)
@@ -70,12 +71,14 @@
                 self.return_late_excess(id, correction.excess_units, now, actions);
             }
             CounterReply::NotAdded => revert_call(account, &timed_out.call),
-            // The result of the call is still unknown.
+            // The result is unknown, or the total is invalid or of a past window. Nothing can be granted or
+            // given back.
             _ => {}
         }
     }
 
-    /// Updates the account with the total after an added call. Returns the correction that the counter needs.
+    /// Updates the account with the counter's total after a call, once it is determined whether the call was
+    /// added. Returns the correction that the counter needs.
     fn reconcile(
         &mut self,
         settings: &Settings,
@@ -92,6 +95,8 @@
             let is_short = correction.excess_units > 0.0;
             self.speculation.record_reply(account, is_short, now);
             if is_short {
+                // The units charged for sampled requests do not reduce the grant. If the bucket is short,
+                // they are released.
                 correction.excess_units += call.sampled_units;
                 // Fractions of a request that remain in the leases of many nodes could add up to the whole
                 // burst. If the bucket is short, units that no waiting request needs are therefore released
--- a/src/decision/quota/request.rs
+++ b/src/decision/quota/request.rs
@@ -7,7 +7,7 @@
     pub account: AccountId,
     pub plan: &'a Plan,
     pub units: f64,
-    /// Value of one request of its class (`RequestClass::priority_weight`).
+    /// Weight of one request of its class before the plan's factor (`RequestClass::priority_weight`).
     pub priority_weight: f64,
     pub stage: QuotaStage,
 }
--- a/src/decision/quota/speculation.rs
+++ b/src/decision/quota/speculation.rs
@@ -1,9 +1,10 @@
 //! Speculative admission: whether a request without a lease calls the counter, and whether it is admitted
 //! without a call.
 //!
-//! Costs and values are in the unit of the classes' `priority_weight`. Each speculative admission is paid
-//! from a balance that grows by a small share of the requested value. Without this bound, the gain of many
-//! admissions would hide how many units they admit over quota.
+//! The value of a request is its weight times its units. Costs and values are in the unit of the classes'
+//! `priority_weight`. Each speculative admission is paid from a balance that grows by a small share of the
+//! requested value. Without this bound, admissions that each seem worth their risk could together admit many
+//! units over quota.
 
 use std::collections::BTreeMap;
 
@@ -33,8 +34,8 @@
 
 /// The expected costs of a request that is decided neither by a lease nor by the counter's totals.
 pub(super) struct Assessment {
-    /// Expected cost of a decision without a call, if the better of admitting and rejecting is chosen: the
-    /// expected value of the information that the counter has.
+    /// Expected cost of deciding without a call, if the cheaper of admitting and rejecting is chosen. A call
+    /// avoids this cost, so this is the expected value of the information that the counter has.
     value_of_information: f64,
     /// Expected cost of admitting the request without a call.
     expected_cost: f64,
@@ -119,7 +120,7 @@
         let relative_value = assessment.value_of_information / self.mean_value_of_information.max(1e-9);
         let odds = call_share * relative_value.clamp(MIN_RELATIVE_VALUE, MAX_RELATIVE_VALUE);
         let probability = odds / (1.0 - call_share + odds);
-        // Requests that call also report those that are admitted without a call, as a sample of them.
+        // The call also reports the requests admitted without one, of which it is a sample.
         let sampling_weight = if assessment.is_profitable { 1.0 / probability - 1.0 } else { 0.0 };
         CallSampling { probability, sampling_weight }
     }
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -1,21 +1,26 @@
 //! The settings of a node in the form that the decisions use. `protocol` reads them from their serialized
 //! form.
+//!
+//! The weight of a request is [`RequestClass::priority_weight`] times [`Plan::weight_factor`]. A response
+//! within the latency objective earns this weight, a later one the share [`RequestClass::late_weight`] of it.
+//! The value of a request, by which speculative admission weighs it, is its weight times its units.
 
 use super::identifiers::Micros;
 
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Idempotency {
-    /// Repeats are harmless.
+    /// A repeat of the request is harmless.
     #[default]
     Safe,
-    /// The endpoints of one deduplication scope drop a repeat within the deduplication window.
+    /// The endpoints of one deduplication group drop a repeat within the deduplication window.
     Keyed,
     /// The request must never run twice.
     NonIdempotent,
 }
 
-/// Which endpoints drop each other's repeats of a keyed request.
+/// Which endpoints form a deduplication group: they drop repeats of a keyed request that ran at another
+/// endpoint of the group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum DeduplicationScope {
     /// All endpoints.
@@ -30,17 +35,17 @@
 /// A class of requests.
 #[derive(Debug, Clone, Default)]
 pub struct RequestClass {
-    /// A response within this time earns the full weight of its request.
+    /// A response within this time of the client's first request earns the full weight of the request.
     pub latency_objective: Micros,
-    /// How long a client waits in all, including its retries.
+    /// How long a client waits in all, including its client retries.
     pub total_timeout: Micros,
     /// Whether a request may run more than once.
     pub idempotency: Idempotency,
-    /// Which endpoints drop repeats. Used for keyed classes only.
+    /// Which endpoints form a deduplication group. Used for keyed classes only.
     pub deduplication_scope: DeduplicationScope,
-    /// How long endpoints drop repeats. Used for keyed classes only.
+    /// How long the endpoints of a deduplication group drop repeats. Used for keyed classes only.
     pub deduplication_window: Micros,
-    /// Value of one request, in a unit that all classes share.
+    /// Weight of one request before the plan's factor, in a unit that all classes share.
     pub priority_weight: f64,
     /// Share of the weight that a response after the latency objective earns, 0 to 1.
     pub late_weight: f64,
@@ -55,20 +60,23 @@
     pub quota_units_per_second: f64,
     /// Capacity of the quota's token bucket, in units. The bucket starts full.
     pub burst_units: f64,
-    /// Rate of the hard ceiling, in units per second; 0 means that there is no ceiling. The decisions use it
-    /// only as a flag that says whether there is a ceiling.
+    /// Rate of the hard ceiling, in units per second; 0 means that there is no ceiling. The ceiling is a
+    /// limit on the units admitted, within or over quota, that must never be exceeded. While it is set, no
+    /// request over quota is served. The decisions use the rate only as a flag that says whether there is a
+    /// ceiling.
     pub ceiling_units_per_second: f64,
     /// Capacity of the ceiling's token bucket, in units. Not used by the decisions.
     pub ceiling_burst_units: f64,
     /// How many units the ceiling's token bucket may go below zero. Not used by the decisions.
     pub ceiling_slack_units: f64,
-    /// Maximum number of attempts in flight at once; 0 means that there is no such quota.
+    /// The concurrency quota: maximum number of attempts in flight at once; 0 means that there is no such
+    /// quota.
     pub max_in_flight: u32,
     /// Cost of admitting a request over quota, as a share of the request's weight.
     pub over_quota_cost: f64,
-    /// Value of serving a request over quota, as a share of the request's weight.
+    /// What a response to a request over quota earns, as a share of the request's weight.
     pub over_quota_weight: f64,
-    /// Factor that multiplies the weight of the plan's requests.
+    /// Factor that multiplies the `priority_weight` of the plan's requests.
     pub weight_factor: f64,
 }
 
@@ -123,9 +131,10 @@
     pub zone: u32,
     /// Minimum time between two batches of events from the simulator. Not used by the decisions.
     pub batch_interval: Micros,
-    /// Whether the node has to poll the endpoint list; otherwise the list is pushed.
+    /// Whether the nodes request the endpoint list from one shared service; otherwise each node's own agent
+    /// pushes it.
     pub polls_endpoint_list: bool,
-    /// Whether clients mark their retries. Not used by the decisions.
+    /// Whether clients mark client retries. Not used by the decisions.
     pub clients_mark_retries: bool,
     /// Maximum number of units that one request uses. Not used by the decisions.
     pub max_request_units: f64,
