--- a/tests/balancer_scaling.rs
+++ b/tests/balancer_scaling.rs
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn nodes_do_not_all_send_a_request_to_a_cold_endpoint_at_once() {
+fn nodes_do_not_all_send_a_request_to_a_warming_endpoint_at_once() {
     let mut to_warming = 0;
     for seed in 0..200 {
         let started_at = 100 * SECOND - MILLISECOND;
@@ -107,16 +107,16 @@
             node.complete(&attempt);
         }
     }
-    // A warm endpoint gets 1,000 / 3.2 requests in that second. The cold endpoint is sure to have 0.2 to 0.25
-    // of the capacity of a warm one.
+    // A warm endpoint gets 1,000 / 3.2 requests in that second. The warming endpoint is sure to have 0.2 to
+    // 0.25 of the capacity of a warm one.
     assert!(
         to_warming <= 70,
-        "{to_warming} requests to the cold endpoint in its first second; expected up to 70"
+        "{to_warming} requests to the warming endpoint in its first second; expected up to 70"
     );
 }
 
 #[test]
-fn cold_endpoints_among_many_get_the_share_that_their_warm_fraction_allows() {
+fn warming_endpoints_among_many_get_the_share_that_their_warm_fraction_allows() {
     let mut to_warming = 0;
     let mut to_all = 0;
     for seed in 0..50 {
--- a/tests/endpoint_recovery.rs
+++ b/tests/endpoint_recovery.rs
@@ -22,13 +22,13 @@
     /// Index of the request's class in the settings.
     class: usize,
     endpoint: EndpointId,
-    /// Time from the fleet's start to the end of the attempt.
+    /// Time from the node's start to the end of the attempt.
     at: Micros,
     succeeded: bool,
 }
 
 /// A node with four endpoints that end each attempt at once.
-struct Fleet {
+struct NodeAndEndpoints {
     node: NodeUnderTest,
     started_at: Micros,
     ended: Vec<AttemptResult>,
@@ -36,10 +36,10 @@
     failed: BTreeMap<usize, u32>,
 }
 
-impl Fleet {
-    fn start() -> Fleet {
+impl NodeAndEndpoints {
+    fn start() -> NodeAndEndpoints {
         let node = NodeUnderTest::new(settings_without_quota(), 4);
-        Fleet { started_at: node.now, node, ended: Vec::new(), failed: BTreeMap::new() }
+        NodeAndEndpoints { started_at: node.now, node, ended: Vec::new(), failed: BTreeMap::new() }
     }
 
     fn elapsed(&self) -> Micros {
@@ -94,7 +94,8 @@
         served.map(|ended| ended.endpoint).collect()
     }
 
-    fn failed_tests(&self, class: usize) -> usize {
+    /// Returns the number of failed attempts of requests of a class, whether or not they are recovery tests.
+    fn failed_attempts(&self, class: usize) -> usize {
         self.ended.iter().filter(|ended| !ended.succeeded && ended.class == class).count()
     }
 }
@@ -106,11 +107,11 @@
 #[test]
 fn node_recovers_from_a_fault_of_all_endpoints_whatever_the_idempotency_of_its_requests() {
     for classes in [&[SAFE][..], &[KEYED], &[NON_IDEMPOTENT], &[SAFE, KEYED, NON_IDEMPOTENT]] {
-        let mut fleet = Fleet::start();
-        fleet.run(3 * SECOND, classes, |_| true);
-        let fault_ended_at = fleet.elapsed();
-        fleet.run(2 * MAX_EJECTION, classes, |_| false);
-        let first_served = fleet
+        let mut harness = NodeAndEndpoints::start();
+        harness.run(3 * SECOND, classes, |_| true);
+        let fault_ended_at = harness.elapsed();
+        harness.run(2 * MAX_EJECTION, classes, |_| false);
+        let first_served = harness
             .ended
             .iter()
             .find(|ended| ended.succeeded)
@@ -121,7 +122,7 @@
             first_served.at
         );
         assert_eq!(
-            fleet.serving(fault_ended_at + MAX_EJECTION).len(),
+            harness.serving(fault_ended_at + MAX_EJECTION).len(),
             4,
             "endpoints that serve again, classes {classes:?}"
         );
@@ -131,13 +132,13 @@
 #[test]
 fn endpoints_that_failed_beside_healthy_ones_are_used_again_whatever_the_idempotency() {
     for classes in [&[SAFE][..], &[KEYED], &[NON_IDEMPOTENT], &[SAFE, KEYED, NON_IDEMPOTENT]] {
-        let mut fleet = Fleet::start();
-        fleet.run(3 * SECOND, classes, is_first_half);
-        let fault_ended_at = fleet.elapsed();
+        let mut harness = NodeAndEndpoints::start();
+        harness.run(3 * SECOND, classes, is_first_half);
+        let fault_ended_at = harness.elapsed();
         let longest = MAX_EJECTION + MAX_WAIT_FOR_SAFER_REQUESTS;
-        fleet.run(2 * longest, classes, |_| false);
+        harness.run(2 * longest, classes, |_| false);
         assert_eq!(
-            fleet.serving(fault_ended_at + longest).len(),
+            harness.serving(fault_ended_at + longest).len(),
             4,
             "endpoints that serve again, classes {classes:?}"
         );
@@ -147,16 +148,16 @@
 #[test]
 fn endpoint_that_restarts_during_its_ejection_is_used_at_once() {
     for class in [SAFE, KEYED, NON_IDEMPOTENT] {
-        let mut fleet = Fleet::start();
-        fleet.run(3 * SECOND, &[class], |endpoint| endpoint.0 == 0);
-        let mut restarted = endpoint_entry(0, EndpointState::Active, fleet.node.now - 20 * SECOND);
+        let mut harness = NodeAndEndpoints::start();
+        harness.run(3 * SECOND, &[class], |endpoint| endpoint.0 == 0);
+        let mut restarted = endpoint_entry(0, EndpointState::Active, harness.node.now - 20 * SECOND);
         // The endpoint restarted 20 s ago, so it has long been warm when the list reports the restart.
         restarted.weight = 1.0;
-        fleet.node.update_endpoint(restarted);
-        let restarted_at = fleet.elapsed();
-        fleet.run(SECOND, &[class], |_| false);
+        harness.node.update_endpoint(restarted);
+        let restarted_at = harness.elapsed();
+        harness.run(SECOND, &[class], |_| false);
         assert!(
-            fleet.serving(restarted_at).contains(&EndpointId(0)),
+            harness.serving(restarted_at).contains(&EndpointId(0)),
             "class {class}: the restarted endpoint served no request within 1 s"
         );
     }
@@ -164,57 +165,58 @@
 
 #[test]
 fn non_idempotent_requests_spend_few_tests_on_endpoints_that_stay_faulty() {
-    let mut fleet = Fleet::start();
-    fleet.run(10 * SECOND, &[NON_IDEMPOTENT], is_first_half);
-    let failed_at_first = fleet.failed[&NON_IDEMPOTENT];
+    let mut harness = NodeAndEndpoints::start();
+    harness.run(10 * SECOND, &[NON_IDEMPOTENT], is_first_half);
+    let failed_at_first = harness.failed[&NON_IDEMPOTENT];
     // By now both faulty endpoints are ejected for the longest time. Each test follows such an ejection and a
     // wait of the same length.
     let minutes = 2;
-    fleet.run(minutes * 60 * SECOND, &[NON_IDEMPOTENT], is_first_half);
-    let failed = u64::from(fleet.failed[&NON_IDEMPOTENT] - failed_at_first);
+    harness.run(minutes * 60 * SECOND, &[NON_IDEMPOTENT], is_first_half);
+    let failed = u64::from(harness.failed[&NON_IDEMPOTENT] - failed_at_first);
     let tests_of_each = minutes * 60 * SECOND / (MAX_EJECTION + MAX_WAIT_FOR_SAFER_REQUESTS) + 1;
     assert!(
         (1..=2 * tests_of_each).contains(&failed),
-        "{failed} of {} requests failed; expected at least 1 and at most the tests of two endpoints",
+        "{failed} of {} requests failed; expected at least 1, and at most one per 12.8 s and one \
+         more at each of the two faulty endpoints",
         minutes * 60 * 50
     );
-    let attempts = fleet.ended.len();
-    let requests = fleet.elapsed() / REQUEST_INTERVAL;
-    assert_eq!(attempts as u64, requests, "attempts and requests: no request may be sent again");
+    let attempts = harness.ended.len();
+    let requests = harness.elapsed() / REQUEST_INTERVAL;
+    assert_eq!(attempts as u64, requests, "attempts and requests: no request may be retried");
 }
 
 #[test]
 fn safe_requests_test_recovering_endpoints_before_others() {
-    let mut fleet = Fleet::start();
+    let mut harness = NodeAndEndpoints::start();
     // The node first sends to healthy endpoints, so that resets are rare and one reset ejects an endpoint.
     let classes = [NON_IDEMPOTENT, NON_IDEMPOTENT, KEYED, SAFE];
-    fleet.run(SECOND, &classes, |_| false);
-    fleet.run(SECOND, &[SAFE], is_first_half);
-    fleet.run(60 * SECOND, &classes, is_first_half);
+    harness.run(SECOND, &classes, |_| false);
+    harness.run(SECOND, &[SAFE], is_first_half);
+    harness.run(60 * SECOND, &classes, is_first_half);
     assert_eq!(
-        fleet.failed.get(&NON_IDEMPOTENT),
+        harness.failed.get(&NON_IDEMPOTENT),
         Some(&0),
         "non-idempotent requests that failed in a recovery test"
     );
-    assert_eq!(fleet.failed_tests(KEYED), 0, "recovery tests by keyed requests that failed");
+    assert_eq!(harness.failed_attempts(KEYED), 0, "failed attempts of keyed requests");
     assert!(
-        fleet.failed_tests(SAFE) >= 8,
-        "fewer than 8 recovery tests of the faulty endpoints by safe requests"
+        harness.failed_attempts(SAFE) >= 8,
+        "fewer than 8 failed attempts of safe requests at the faulty endpoints"
     );
 }
 
 #[test]
 fn tests_by_requests_that_are_not_safe_stay_a_small_share_of_them() {
     // The requests are so rare that most of them could test an endpoint.
-    let mut fleet = Fleet::start();
-    fleet.run(SECOND, &[NON_IDEMPOTENT], |endpoint| endpoint.0 < 3);
-    let failed_at_first = fleet.failed[&NON_IDEMPOTENT];
+    let mut harness = NodeAndEndpoints::start();
+    harness.run(SECOND, &[NON_IDEMPOTENT], |endpoint| endpoint.0 < 3);
+    let failed_at_first = harness.failed[&NON_IDEMPOTENT];
     let requests = 200;
     for _ in 0..requests {
-        fleet.node.advance(20 * SECOND);
-        fleet.run(REQUEST_INTERVAL, &[NON_IDEMPOTENT], |endpoint| endpoint.0 < 3);
+        harness.node.advance(20 * SECOND);
+        harness.run(REQUEST_INTERVAL, &[NON_IDEMPOTENT], |endpoint| endpoint.0 < 3);
     }
-    let failed = fleet.failed[&NON_IDEMPOTENT] - failed_at_first;
+    let failed = harness.failed[&NON_IDEMPOTENT] - failed_at_first;
     assert!(
         (1..=requests / 10 + 2).contains(&failed),
         "{failed} of {requests} requests failed in recovery tests; expected 1 to a tenth of them plus 2"
--- a/tests/load_shedding.rs
+++ b/tests/load_shedding.rs
@@ -28,6 +28,7 @@
         node.advance(20 * MILLISECOND);
     }
     complete_slowly(&mut node, in_flight);
+    // The endpoints have completed 20 requests a second.
     let mut in_flight = Vec::new();
     let mut rejections = 0;
     for step in 0..200 {
@@ -45,10 +46,7 @@
         }
         in_flight.extend(started_attempts(&actions));
     }
-    assert!(
-        rejections > 50,
-        "{rejections} of 200 rejected in 0.2 s, expected over 50: two endpoints at 20 a second"
-    );
+    assert!(rejections > 50, "{rejections} of 200 requests in 0.2 s were shed; expected more than 50");
     complete_slowly(&mut node, in_flight);
     for _ in 0..500 {
         node.advance(20 * MILLISECOND);
@@ -76,7 +74,7 @@
             node.complete(&oldest);
         }
     }
-    // `request_started` panics if the request is shed.
+    // `start_attempt` panics if the request is shed.
     for _ in 0..60 {
         node.start_attempt(SAFE);
     }
--- a/tests/oracle/selection.rs
+++ b/tests/oracle/selection.rs
@@ -74,7 +74,8 @@
         ring: &[EndpointId],
     ) -> Option<EndpointId> {
         // The scan of the whole list takes its random numbers from a copy of the state. The node itself draws
-        // random numbers only for the endpoints that its subset spans.
+        // random numbers only for the endpoints that its subset spans and, if none of them is available, for
+        // the sample of the others.
         let best_of_all = self.best_of(id, exclude, ring, &mut self.random_state.clone());
         let position =
             |id| ring.iter().position(|&on_ring| on_ring == id).expect("the id is not on the ring");
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -24,7 +24,10 @@
     admitted_units
 }
 
-/// Ends calls to the counter with totals that leave the account's bucket empty.
+/// Ends calls to the counter with totals that leave the account's bucket empty. Each total is more than the
+/// bucket can grant within a window of 30 s, which is at most 24 + 12 * 30 = 384 units in the settings used
+/// with it. The first reply grants nothing, so the node releases the units that the call added; the lower
+/// total ends this release.
 fn exhaust_quota(node: &mut NodeUnderTest) {
     let first = counter_call(&node.request(SAFE, 1.0).actions).expect("expected a counter call");
     let mut actions = node.end_counter_call(first, Outcome::Ok, 500.0);
@@ -182,7 +185,7 @@
     assert_eq!(
         *retry_afters.last().expect("expected at least one rejection, got none"),
         0,
-        "expected no `Retry-After` time beyond the bound D on outstanding deferrals: {retry_afters:?}"
+        "expected no `Retry-After` time beyond the horizon of 2 s: {retry_afters:?}"
     );
     node.advance(deferrals[0] + MILLISECOND);
     let retry = node.retry(SAFE, 12.0);
@@ -305,7 +308,10 @@
         let mut counter = InMemoryCounter::default();
         units += send_steadily(&mut node, &mut counter, 2);
     }
-    assert!(units <= 20.4 + 3.4 * 6.0, "{units} units admitted over three restarts, the ceiling allows 40.8");
+    assert!(
+        units <= 20.4 + 3.4 * 6.0,
+        "{units} units admitted by three nodes in turn, the ceiling allows 40.8"
+    );
 }
 
 /// Sends a request of one unit and completes it if it is admitted. Returns the units admitted.
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start in a fleet: endpoints that warm up get a part of the load of twenty to thirty nodes, and the
-//! nodes together do not overload them.
+//! Slow start in a fleet: endpoints that are warming up get a part of the load of twenty to thirty nodes, and
+//! the nodes together do not overload them.
 
 mod common;
 mod warm_up;
@@ -8,7 +8,7 @@
 use edge_node::decision::WarmUp;
 use warm_up::{NodeOutage, Scenario, Simulation};
 
-/// Few endpoints that warm up among many warm ones, under a burst.
+/// Few endpoints that are warming up among many warm ones, under a burst.
 fn few_among_many_under_burst(warm_up: &WarmUp) -> Scenario {
     Scenario {
         node_count: 25,
@@ -16,11 +16,11 @@
         warming_count: 3,
         load_before: 0.6,
         load_in_burst: 0.9,
-        ..Scenario::without_load(warm_up)
+        ..Scenario::empty(warm_up)
     }
 }
 
-/// More endpoints that warm up than warm ones, under a burst that begins a second after their start.
+/// More endpoints that are warming up than warm ones, under a burst that begins a second after their start.
 fn more_warming_than_warm(warm_up: &WarmUp) -> Scenario {
     Scenario {
         node_count: 20,
@@ -29,7 +29,7 @@
         load_before: 0.6,
         load_in_burst: 0.9,
         burst_after: SECOND,
-        ..Scenario::without_load(warm_up)
+        ..Scenario::empty(warm_up)
     }
 }
 
@@ -42,7 +42,7 @@
         load_before: 0.02,
         load_in_burst: 1.2,
         burst_after: 8 * SECOND,
-        ..Scenario::without_load(warm_up)
+        ..Scenario::empty(warm_up)
     }
 }
 
@@ -54,7 +54,7 @@
         warming_count: 8,
         load_before: 0.9,
         load_in_burst: 2.0,
-        ..Scenario::without_load(warm_up)
+        ..Scenario::empty(warm_up)
     }
 }
 
@@ -67,7 +67,7 @@
         load_before: 1.0,
         load_in_burst: 1.4,
         outage: Some(NodeOutage { after: SECOND, duration: 2 * SECOND }),
-        ..Scenario::without_load(warm_up)
+        ..Scenario::empty(warm_up)
     }
 }
 
@@ -81,7 +81,8 @@
     ]
 }
 
-/// Asserts for each scenario that the endpoints that warm up are not overloaded, and that they get some load.
+/// Asserts for each scenario that the endpoints that are warming up are not overloaded, and that they get
+/// some load.
 fn assert_warming_endpoints_are_used_and_survive(warm_up: &WarmUp) {
     for (number, scenario) in scenarios(warm_up).iter().enumerate() {
         for seed in 1..=3 {
@@ -90,7 +91,8 @@
             let share = outcome.warming_share;
             assert!(
                 peak <= 1.0,
-                "scenario {number}, seed {seed}: {peak:.2} of the survivable load; expected at most 1"
+                "scenario {number}, seed {seed}: peak load {peak:.2}, relative to the survivable load plus \
+                 an allowance for random arrivals; expected at most 1"
             );
             assert!(
                 share > 0.02,
@@ -102,7 +104,7 @@
 }
 
 #[test]
-fn nodes_together_use_cold_endpoints_without_overloading_them() {
+fn nodes_together_use_warming_endpoints_without_overloading_them() {
     assert_warming_endpoints_are_used_and_survive(&WarmUp {
         initial_fraction: 0.21,
         duration: 12 * SECOND,
@@ -112,7 +114,7 @@
 }
 
 #[test]
-fn nodes_together_do_not_overload_cold_endpoints_that_survive_less_for_a_shorter_time() {
+fn nodes_together_do_not_overload_warming_endpoints_that_survive_less_for_a_shorter_time() {
     assert_warming_endpoints_are_used_and_survive(&WarmUp {
         initial_fraction: 0.2,
         duration: 15 * SECOND,
@@ -122,7 +124,7 @@
 }
 
 #[test]
-fn nodes_together_do_not_overload_cold_endpoints_that_fail_at_one_and_a_half_times_their_capacity() {
+fn nodes_together_do_not_overload_warming_endpoints_that_fail_at_one_and_a_half_times_their_capacity() {
     assert_warming_endpoints_are_used_and_survive(&WarmUp {
         initial_fraction: 0.2,
         duration: 15 * SECOND,
--- a/tests/warm_up/mod.rs
+++ b/tests/warm_up/mod.rs
@@ -15,7 +15,7 @@
 const CAPACITY: f64 = 16.0;
 /// When the nodes start.
 const NODES_START: Micros = 100 * SECOND;
-/// When the warming endpoints, which are those that warm up during the run, start.
+/// When the warming endpoints start. These are the endpoints that start and warm up during the run.
 const WARM_UP_START: Micros = 110 * SECOND;
 /// When the run ends.
 const END: Micros = 130 * SECOND;
@@ -48,7 +48,7 @@
 
 impl Scenario {
     /// Returns a scenario without nodes, endpoints, load and outage, from which the others are derived.
-    pub fn without_load(warm_up: &WarmUp) -> Scenario {
+    pub fn empty(warm_up: &WarmUp) -> Scenario {
         Scenario {
             node_count: 0,
             warm_count: 0,
@@ -153,7 +153,8 @@
 
 /// The result of a run.
 pub struct WarmUpOutcome {
-    /// The greatest load of any warming endpoint within one window, relative to the load that it survives.
+    /// The greatest number of attempts that any warming endpoint got within one window, relative to the
+    /// number that it survives plus an allowance for random arrivals.
     pub peak_window_load: f64,
     /// The share of all attempts since the start of the warming endpoints that went to them, 0 to 1.
     pub warming_share: f64,
@@ -346,7 +347,8 @@
     }
 
     /// Returns the greatest number of attempts that any warming endpoint got within a window of
-    /// `overload_duration` while it was warming up, relative to the number that it survives.
+    /// `overload_duration` while it was warming up, relative to the number that it survives plus an allowance
+    /// for random arrivals.
     fn peak_window_load(&self) -> f64 {
         let scenario = self.scenario;
         let rules = &scenario.warm_up;
