--- a/crates/scale-bench/src/soak.rs
+++ b/crates/scale-bench/src/soak.rs
@@ -8,9 +8,9 @@
 mod flood;
 mod message;
 mod options;
-mod phase;
 mod plan;
 mod play;
+mod play_times;
 mod rules;
 
 use std::io::Write;
--- a/crates/scale-bench/src/soak/client.rs
+++ b/crates/scale-bench/src/soak/client.rs
@@ -11,7 +11,7 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
 use super::message::read_message;
-use super::phase::PlayTimes;
+use super::play_times::PlayTimes;
 use super::rules::{Ending, RequestLog, RESPONSE_SLACK};
 use crate::fakes::hash::mix;
 use crate::node::configuration::{RequestClass, CLASSES, QUOTA_PLAN, UNLIMITED_PLAN};
