--- a/crates/scale-bench/src/fleet.rs
+++ b/crates/scale-bench/src/fleet.rs
@@ -21,8 +21,8 @@
 mod endpoint_list;
 mod event_queue;
 mod failure;
-mod failure_kind;
 mod figures;
+mod fleet_failure;
 mod measurements;
 mod network;
 mod node;
@@ -32,7 +32,7 @@
 mod scenario;
 mod world;
 
-pub use failure_kind::FailureKind;
+pub use fleet_failure::FleetFailure;
 pub use scenario::Scenario;
 
 /// The simulation continues for this long after the measured time, so that the last measured requests end. It
--- a/crates/scale-bench/src/fleet/failure.rs
+++ b/crates/scale-bench/src/fleet/failure.rs
@@ -9,7 +9,7 @@
 use rand::Rng;
 
 use super::counter::CounterMode;
-use super::failure_kind::FailureKind;
+use super::fleet_failure::FleetFailure;
 use super::node::{EndpointIndex, NodeIndex};
 use super::scenario::Scenario;
 
@@ -74,7 +74,7 @@
 
 /// The failure of one run, with the nodes and endpoints that were drawn for it.
 pub struct FailurePlan {
-    kind: FailureKind,
+    kind: FleetFailure,
     starts_at: Micros,
     duration: Micros,
     zones: u32,
@@ -112,8 +112,8 @@
     /// to replace.
     pub fn schedule(&mut self, random: &mut StdRng, endpoint_count: usize) -> Vec<ScheduledStep> {
         match self.kind {
-            FailureKind::Calm => Vec::new(),
-            FailureKind::Release => {
+            FleetFailure::Calm => Vec::new(),
+            FleetFailure::Release => {
                 self.released = draw_share(random, endpoint_count, self.release_share);
                 self.release_schedule()
             }
@@ -146,46 +146,46 @@
     fn start(&mut self, random: &mut StdRng, layout: &FleetLayout) -> Vec<FailureEffect> {
         let node_count = layout.node_zones.len();
         match self.kind {
-            FailureKind::RestartTenth => {
+            FleetFailure::RestartTenth => {
                 let nodes = draw(random, node_count, node_count.div_ceil(RESTARTED_NODE_DIVISOR));
                 nodes
                     .into_iter()
                     .flat_map(|node| [FailureEffect::StopNode(node), FailureEffect::BootNode(node)])
                     .collect()
             }
-            FailureKind::Rack => {
+            FleetFailure::Rack => {
                 self.unresponsive_endpoints =
                     draw_share(random, layout.endpoint_zones.len(), self.rack_share);
                 self.hang()
             }
-            FailureKind::Zone => {
+            FleetFailure::Zone => {
                 let zone = random.random_range(0..self.zones);
                 self.unresponsive_endpoints = indices_in_zone(&layout.endpoint_zones, zone);
                 self.unresponsive_nodes = indices_in_zone(&layout.node_zones, zone);
                 self.hang()
             }
-            FailureKind::HalfDown => {
+            FleetFailure::HalfDown => {
                 self.unresponsive_nodes = draw(random, node_count, node_count / 2);
                 self.hang()
             }
-            FailureKind::RegionCut => {
+            FleetFailure::RegionCut => {
                 let region = random.random_range(0..self.regions);
                 vec![FailureEffect::IsolateRegion(Some(region))]
             }
-            FailureKind::CounterSilent => vec![FailureEffect::SetCounterMode(CounterMode::Silent)],
-            FailureKind::CounterBusy => vec![FailureEffect::SetCounterMode(CounterMode::Busy)],
-            FailureKind::Calm | FailureKind::Release => Vec::new(),
+            FleetFailure::CounterSilent => vec![FailureEffect::SetCounterMode(CounterMode::Silent)],
+            FleetFailure::CounterBusy => vec![FailureEffect::SetCounterMode(CounterMode::Busy)],
+            FleetFailure::Calm | FleetFailure::Release => Vec::new(),
         }
     }
 
     fn end(&mut self) -> Vec<FailureEffect> {
         match self.kind {
-            FailureKind::Rack | FailureKind::Zone | FailureKind::HalfDown => self.recover(),
-            FailureKind::RegionCut => vec![FailureEffect::IsolateRegion(None)],
-            FailureKind::CounterSilent | FailureKind::CounterBusy => {
+            FleetFailure::Rack | FleetFailure::Zone | FleetFailure::HalfDown => self.recover(),
+            FleetFailure::RegionCut => vec![FailureEffect::IsolateRegion(None)],
+            FleetFailure::CounterSilent | FleetFailure::CounterBusy => {
                 vec![FailureEffect::SetCounterMode(CounterMode::Serving)]
             }
-            FailureKind::Calm | FailureKind::RestartTenth | FailureKind::Release => Vec::new(),
+            FleetFailure::Calm | FleetFailure::RestartTenth | FleetFailure::Release => Vec::new(),
         }
     }
 
--- a/crates/scale-bench/src/fleet/figures.rs
+++ b/crates/scale-bench/src/fleet/figures.rs
@@ -1,6 +1,6 @@
 //! Computes the figures of a fleet report from the measurements of the run.
 
-use super::failure_kind::FailureKind;
+use super::fleet_failure::FleetFailure;
 use super::measurements::{Measurements, INTERVAL};
 use super::world::World;
 use crate::report::Report;
@@ -109,7 +109,7 @@
     add_summary("nodes_per_server", &sending_nodes, "nodes", report);
     add_summary("servers_per_node", &world.endpoints_used_by_node(), "servers met", report);
     add_summary("servers_known_per_node", &world.endpoints_known_by_node(), "servers", report);
-    if world.scenario.fail != FailureKind::Calm {
+    if world.scenario.fail != FleetFailure::Calm {
         let note = "nodes_per_server and servers_per_node are counted from the failure's begin on (of a \
                     release: from the end of the warm-up on)";
         report.notes.push(note.into());
@@ -128,7 +128,7 @@
 /// If nothing fails, adds the worst service of any interval only.
 fn add_recovery(world: &World, report: &mut Report) {
     let service = world.measurements.service_by_interval();
-    if world.scenario.fail == FailureKind::Calm {
+    if world.scenario.fail == FleetFailure::Calm {
         report.add("service_least", Summary::of(&service).least, "share, worst second");
         return;
     }
--- a/crates/scale-bench/src/fleet/failure_kind.rs
+++ b/crates/scale-bench/src/fleet/fleet_failure.rs
@@ -6,7 +6,7 @@
 /// A kind of failure, or of a planned change that must not affect clients.
 #[derive(ValueEnum, Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum FailureKind {
+pub enum FleetFailure {
     /// Nothing fails
     Calm,
     /// A tenth of the nodes stop at the same time and start again with empty state and a stale endpoint list
--- a/crates/scale-bench/src/fleet/scenario.rs
+++ b/crates/scale-bench/src/fleet/scenario.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 
 use super::accounts::ACCOUNT_INDEX_BITS;
-use super::failure_kind::FailureKind;
+use super::fleet_failure::FleetFailure;
 use crate::error::BenchError;
 
 /// Time at which the simulated clock starts. It is far from 0, because some fields use 0 for "long ago".
@@ -41,8 +41,8 @@
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     /// The failure to simulate
-    #[arg(long, value_enum, default_value_t = FailureKind::Calm)]
-    pub fail: FailureKind,
+    #[arg(long, value_enum, default_value_t = FleetFailure::Calm)]
+    pub fail: FleetFailure,
     /// Milliseconds from the end of the warm-up to the start of the failure
     #[arg(long, default_value_t = 6_000, value_name = "MS", value_parser = clap::value_parser!(u64).range(0..=3_600_000))]
     pub fail_at_ms: u64,
@@ -249,7 +249,7 @@
     }
 
     fn check_failure_time(&self) -> Result<(), BenchError> {
-        if self.fail == FailureKind::Calm {
+        if self.fail == FleetFailure::Calm {
             return Ok(());
         }
         if self.fail_at_ms >= self.measured_ms {
