--- a/crates/scale-bench/src/fleet/figures.rs
+++ b/crates/scale-bench/src/fleet/figures.rs
@@ -44,9 +44,9 @@
     let without_node = ratio(counts.without_node, counts.requests);
     report.add("no_node", without_node, "share of requests, at their first try");
     report.add("on_time", ratio(counts.on_time, counts.results.served), "share of served");
-    report.add("let_in_beyond", counts.admitted_beyond_quota, "units");
-    let beyond_quota = ratio(counts.admitted_beyond_quota, counts.admitted_units);
-    report.add("let_in_beyond_share", beyond_quota, "share of units let in under quotas");
+    report.add("let_in_beyond", counts.admitted_over_quota, "units");
+    let admitted_over_quota = ratio(counts.admitted_over_quota, counts.admitted_units);
+    report.add("let_in_beyond_share", admitted_over_quota, "share of units let in under quotas");
 }
 
 fn add_attempts(counts: &Measurements, report: &mut Report) {
--- a/crates/scale-bench/src/fleet/measurements.rs
+++ b/crates/scale-bench/src/fleet/measurements.rs
@@ -84,8 +84,8 @@
     pub without_node: f64,
     /// Units of the tries of accounts with a quota for which a node started an attempt.
     pub admitted_units: f64,
-    /// The part of `admitted_units` that was beyond the quota.
-    pub admitted_beyond_quota: f64,
+    /// The part of `admitted_units` that was over quota.
+    pub admitted_over_quota: f64,
     /// Attempts that nodes sent.
     pub attempts: f64,
     /// Attempts whose node and endpoint are in different zones.
@@ -131,7 +131,7 @@
             lost_tries: 0.0,
             without_node: 0.0,
             admitted_units: 0.0,
-            admitted_beyond_quota: 0.0,
+            admitted_over_quota: 0.0,
             attempts: 0.0,
             cross_zone: 0.0,
             cross_region: 0.0,
@@ -223,7 +223,7 @@
     pub fn try_admitted(&mut self, units: f64, quota: QuotaStanding) {
         self.admitted_units += units;
         if quota == QuotaStanding::Beyond {
-            self.admitted_beyond_quota += units;
+            self.admitted_over_quota += units;
         }
     }
 
