--- a/src/decision/quota/counter_calls.rs
+++ b/src/decision/quota/counter_calls.rs
@@ -9,24 +9,24 @@
 
 /// The units that a call adds to the counter in addition to the account's unreported units.
 #[derive(Clone, Copy, Default)]
-pub(super) struct Increment {
+pub(super) struct UnitsToAdd {
     /// Units to lease; negative for a release.
     pub lease_units: f64,
     /// Overflow to correct, in units; negative to take a correction back.
     pub overflow_units: f64,
 }
 
-impl Increment {
+impl UnitsToAdd {
     pub fn lease(units: f64) -> Self {
-        Increment { lease_units: units, overflow_units: 0.0 }
+        UnitsToAdd { lease_units: units, overflow_units: 0.0 }
     }
 
     pub fn release(units: f64) -> Self {
-        Increment { lease_units: -units, overflow_units: 0.0 }
+        UnitsToAdd { lease_units: -units, overflow_units: 0.0 }
     }
 
     pub fn overflow_correction(units: f64) -> Self {
-        Increment { lease_units: 0.0, overflow_units: units }
+        UnitsToAdd { lease_units: 0.0, overflow_units: units }
     }
 }
 
@@ -52,25 +52,25 @@
         &mut self,
         id: AccountId,
         account: &mut Account,
-        increment: Increment,
+        units: UnitsToAdd,
         now: Micros,
         actions: &mut Vec<Action>,
     ) {
         let key = CounterWindow::at(id, now).key();
-        let sampled_units = increment.lease_units.max(0.0) * std::mem::take(&mut account.sampling_weight);
+        let sampled_units = units.lease_units.max(0.0) * std::mem::take(&mut account.sampling_weight);
         let unreported_units = std::mem::take(&mut account.unreported_units);
-        let reported_units = unreported_units + increment.overflow_units + sampled_units;
+        let reported_units = unreported_units + units.overflow_units + sampled_units;
         account.call = Some(CounterCall {
-            lease_units: increment.lease_units,
+            lease_units: units.lease_units,
             reported_units,
             sampled_units,
-            overflow_units: increment.overflow_units.max(0.0),
+            overflow_units: units.overflow_units.max(0.0),
             sent_at: now,
             rereads: 0,
             outcome_unknown: false,
         });
         self.in_flight.insert(key, id);
-        let amount = increment.lease_units + reported_units;
+        let amount = units.lease_units + reported_units;
         actions.push(Action::IncrementCounter { key, amount, keep_for: COUNTER_LIFETIME });
     }
 
--- a/src/decision/quota/mod.rs
+++ b/src/decision/quota/mod.rs
@@ -32,7 +32,7 @@
 use super::estimators::RandomSource;
 use super::{AccountId, Action, Micros, NewRequest, RequestId, Settings};
 use account::Account;
-use counter_calls::{CounterCalls, Increment};
+use counter_calls::{CounterCalls, UnitsToAdd};
 use counter_health::CounterHealth;
 use known_level::{decide_by_known_level, BucketView};
 use speculation::{samples_call, Assessment, CallSampling, Speculation};
@@ -261,7 +261,7 @@
         for (&id, account) in &mut self.accounts {
             if lease::is_idle(account, idle_for, now) {
                 let released = std::mem::take(&mut account.lease);
-                self.calls.start(id, account, Increment::release(released), now, actions);
+                self.calls.start(id, account, UnitsToAdd::release(released), now, actions);
             }
         }
     }
@@ -321,7 +321,7 @@
         let Some(plan) = settings.plans.get(account.plan) else { return };
         let units = lease::units_to_lease(account, plan, needed_units, now);
         if units > 0.0 {
-            self.calls.start(id, account, Increment::lease(units), now, actions);
+            self.calls.start(id, account, UnitsToAdd::lease(units), now, actions);
         }
     }
 }
--- a/src/decision/quota/replies.rs
+++ b/src/decision/quota/replies.rs
@@ -1,7 +1,7 @@
 //! Handles replies of the counter service: what they change in an account, and which calls follow.
 
 use super::counter_call::{CounterCall, CounterReply};
-use super::counter_calls::{revert_call, Increment};
+use super::counter_calls::{revert_call, UnitsToAdd};
 use super::counter_window::CounterWindow;
 use super::reconciliation::{apply_total, resolve_unknown_outcome, Correction};
 use super::{lease, QuotaLedger};
@@ -121,9 +121,9 @@
         let withdraws_correction = overflow_units < 0.0;
         let adds_correction = overflow_units > 0.0 && self.counter_health.is_responsive();
         if correction.excess_units > MAX_IGNORED_EXCESS {
-            self.calls.start(id, account, Increment::release(correction.excess_units), now, actions);
+            self.calls.start(id, account, UnitsToAdd::release(correction.excess_units), now, actions);
         } else if may_correct_overflow && (withdraws_correction || adds_correction) {
-            self.calls.start(id, account, Increment::overflow_correction(overflow_units), now, actions);
+            self.calls.start(id, account, UnitsToAdd::overflow_correction(overflow_units), now, actions);
         }
     }
 
@@ -140,7 +140,7 @@
         if account.call.is_some() {
             account.unreported_units -= excess_units;
         } else if excess_units > MAX_IGNORED_EXCESS {
-            self.calls.start(id, account, Increment::release(excess_units), now, actions);
+            self.calls.start(id, account, UnitsToAdd::release(excess_units), now, actions);
         }
     }
 }
