--- a/crates/scale-bench/src/fleet/measurements.rs
+++ b/crates/scale-bench/src/fleet/measurements.rs
@@ -1,4 +1,4 @@
-//! Counts what happens in the measured time of a run.
+//! Counts what happens in the measured time of a run, and the endpoints that are overloaded in the whole run.
 
 use edge_node::decision::{Micros, Outcome};
 use hdrhistogram::Histogram;
@@ -62,7 +62,8 @@
     pub cancelled: f64,
 }
 
-/// Counts of the measured time. They are floating-point numbers because the figures are ratios of them.
+/// Counts of the measured time, except for the counts of overloaded endpoints, which are of the whole run.
+/// They are floating-point numbers because the figures are ratios of them.
 pub struct Measurements {
     from: Micros,
     until: Micros,
@@ -83,8 +84,8 @@
     pub without_node: f64,
     /// Units of the tries of accounts with a quota for which a node started an attempt.
     pub admitted_units: f64,
-    /// The part of `admitted_units` that was beyond the quota.
-    pub admitted_beyond_quota: f64,
+    /// The part of `admitted_units` that was over quota.
+    pub admitted_over_quota: f64,
     /// Attempts that nodes sent.
     pub attempts: f64,
     /// Attempts whose node and endpoint are in different zones.
@@ -103,7 +104,7 @@
     pub counter_rejections: f64,
     /// Replies that reached their node after the time limit of the call.
     pub counter_late_replies: f64,
-    /// Endpoints that failed because of overload while they were warming up.
+    /// Endpoints that failed because of overload while they were warming up, at any time of the run.
     pub overloaded: f64,
     /// The part of `overloaded` for which more than two thirds of the load came from nodes that had been
     /// notified of the endpoint's start.
@@ -130,7 +131,7 @@
             lost_tries: 0.0,
             without_node: 0.0,
             admitted_units: 0.0,
-            admitted_beyond_quota: 0.0,
+            admitted_over_quota: 0.0,
             attempts: 0.0,
             cross_zone: 0.0,
             cross_region: 0.0,
@@ -222,7 +223,7 @@
     pub fn try_admitted(&mut self, units: f64, quota: QuotaStanding) {
         self.admitted_units += units;
         if quota == QuotaStanding::Beyond {
-            self.admitted_beyond_quota += units;
+            self.admitted_over_quota += units;
         }
     }
 
